--- a/Makefile
+++ b/Makefile
@@ -8,12 +8,20 @@
 
 # make soak   plays seeds of faults against real gateways; SEEDS=1-50 SECONDS_EACH=8 by default
 
-.PHONY: build run test format lint faults slopes policy soak soak-mutations clean
+# make tools  installs into bin/ what developers need besides Go: gopls, for renames that every use follows
+
+.PHONY: build tools run test format lint faults slopes policy soak soak-mutations clean
 
 build:
 	@mkdir -p bin
 	go build -o bin/ ./cmd/...
 
+# Later versions of gopls need a later Go.
+GOPLS := golang.org/x/tools/gopls@v0.23.0
+
+tools:
+	GOBIN=$(CURDIR)/bin go install $(GOPLS)
+
 run: build
 	scripts/run.sh
 
