--- a/internal/core/entry/answering_test.go
+++ b/internal/core/entry/answering_test.go
@@ -9,9 +9,9 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// drainFor lets time pass with a log that turns every append down, and reports
-// whether the drain is over.
-func (l *lone) drainFor(d time.Duration) bool {
+// drainFor lets time pass while the log rejects every append, and reports
+// whether the drain has ended.
+func (l *singleEntry) drainFor(d time.Duration) bool {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.outs = nil
 		l.pass(100 * time.Millisecond)
@@ -24,12 +24,12 @@
 	return l.state == message.Stopped
 }
 
-// The process of a planned stop does not exit. The run has ended and nothing is
-// in flight, but a caller reads slowly: the edge says that an answer is open.
-// Once its last byte has left, the drain is over.
-var _ = ginkgo.It("a drain waits for an answer that has not left", func() {
-	l := newLone(testDocument("first", 0))
-	run := dispatched(l.submit(1, patient))[0]
+// A planned stop must wait for a slow caller, and then end. The run has ended
+// and nothing is in flight, but the edge reports an open answer. The drain ends
+// once the answer's last byte has been sent.
+var _ = ginkgo.It("a drain waits for an answer that has not been sent completely", func() {
+	l := newSingleEntry(testDocument("first", 0))
+	run := dispatched(l.submit(1, longDeadline))[0]
 	l.step(DrainStart{})
 	l.step(Answering{Open: 1})
 	l.step(RunEnded{ID: run.ID, Result: message.ResultComplete, Wrote: true})
--- a/internal/core/entry/documents.go
+++ b/internal/core/entry/documents.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	// documentAskEvery is the pause between questions for the document while
-	// the log is out and this entry holds none.
-	documentAskEvery = time.Second
+	// documentRequestInterval is the pause between requests for the document
+	// while this entry cannot determine it from the log.
+	documentRequestInterval = time.Second
 	// bootstrapAfter is how long an entry that can read the log looks for peers
-	// before it takes the log's first document without knowing what went before.
-	// Within it an instance list, even one that lags, has shown the peers.
+	// before it accepts the log's first document without knowing the records
+	// before it. By then an instance list has shown the peers, even if it lags.
 	bootstrapAfter = 45 * time.Second
-	// verdictsRemembered bounds what is kept to tell publishers what became of
-	// their documents.
-	verdictsRemembered = 256
+	// maxDocumentResults bounds the results kept for publishers of documents.
+	maxDocumentResults = 256
 )
 
 // timing holds the protocol's intervals from the document in force.
@@ -40,7 +39,7 @@
 	retention: 4 * time.Hour,
 }
 
-// What holds until a document is in force.
+// Settings used until a document is in force.
 const (
 	startingPeriod  = 5 * time.Second
 	startingLongest = 10 * time.Minute
@@ -59,32 +58,33 @@
 	}
 }
 
-// documentRecorded judges the next record of the documents' stream.
+// documentRecorded checks the next record of the documents stream.
 func (e *Entry) documentRecorded(offset int64, age time.Duration, rec record.Document) {
-	verdict := e.accepted.Record(offset, rec)
-	e.accepted.Seen(verdict, e.now.Add(-age))
-	e.rememberVerdict(verdict)
-	if verdict.Kind == acceptance.Pending {
-		// Only a peer or a renewal can settle it: ask now, not when it is due.
-		e.seekAt = e.now
+	result := e.accepted.Record(offset, rec)
+	e.accepted.Seen(result, e.now.Add(-age))
+	e.rememberResult(result)
+	if result.Kind == acceptance.Pending {
+		// Only a peer or a renewal can resolve it: request the document now.
+		e.nextDocumentRequest = e.now
 	}
-	e.note(Decision{Event: EventDocument, Detail: fmt.Sprintf("%s %s at offset %d", verdict.DocumentID, verdict.Kind, offset)})
+	e.recordDecision(Decision{Event: EventDocument, Detail: fmt.Sprintf("%s %s at offset %d", result.DocumentID, result.Kind, offset)})
 	e.applyCurrent()
 }
 
-func (e *Entry) rememberVerdict(v acceptance.Verdict) {
+func (e *Entry) rememberResult(v acceptance.Verdict) {
 	if v.DocumentID == "" {
 		return
 	}
-	e.verdicts = append(e.verdicts, v)
-	if len(e.verdicts) > verdictsRemembered {
-		e.verdicts = e.verdicts[1:]
+	e.documentResults = append(e.documentResults, v)
+	if len(e.documentResults) > maxDocumentResults {
+		e.documentResults = e.documentResults[1:]
 	}
 }
 
-// DocumentVerdict tells what became of a published document, if it was read.
+// DocumentVerdict returns the result of checking a published document, if its
+// record was read.
 func (e *Entry) DocumentVerdict(id string) (acceptance.Verdict, bool) {
-	for _, v := range e.verdicts {
+	for _, v := range e.documentResults {
 		if v.DocumentID == id && v.Kind != acceptance.Duplicate {
 			return v, true
 		}
@@ -92,11 +92,11 @@
 	return acceptance.Verdict{}, false
 }
 
-// applyCurrent puts the accepted document in force, if it is newer than the one
-// in force. Every duty is configured here and nowhere else.
+// applyCurrent puts the accepted document in force if it is newer than the
+// current one. All components are configured here and nowhere else.
 func (e *Entry) applyCurrent() {
 	doc, version, _ := e.accepted.Current()
-	if doc == nil || version <= e.version || !e.on(guardApply) && e.doc != nil {
+	if doc == nil || version <= e.version || !e.enabled(guardApply) && e.doc != nil {
 		return
 	}
 	e.doc = doc
@@ -109,12 +109,12 @@
 	e.members.Configure(e.membershipConfig())
 	e.performClaims(e.claims.SetHorizon(e.now, e.timing.horizon))
 	e.router.Configure(doc)
-	e.places.Configure(e.now, e.schedulerSettings())
-	e.share.Configure(e.now, e.schedulerSettings())
+	e.scheduler.Configure(e.now, e.schedulerSettings())
+	e.shareScheduler.Configure(e.now, e.schedulerSettings())
 	e.drain.Configure(e.drainConfig())
 	e.performOrders(e.orders.SetDocument(e.now, e.index))
 	e.rebalance()
-	e.changed = true
+	e.viewChanged = true
 }
 
 // renew appends the accepted document again before the log's retention drops it.
@@ -127,13 +127,14 @@
 	e.append(record.StreamDocuments, rec, appendRenewal, 0)
 }
 
-// seekDocument asks peers while this entry cannot tell from the log alone what
-// is in force: it holds no document, or it missed records.
-func (e *Entry) seekDocument() {
-	if e.accepted.Certain() || e.now.Before(e.seekAt) {
+// requestDocument asks peers for the document while this entry cannot determine
+// from the log alone which one is in force: it holds none, or it missed
+// records.
+func (e *Entry) requestDocument() {
+	if e.accepted.Certain() || e.now.Before(e.nextDocumentRequest) {
 		return
 	}
-	e.seekAt = e.now.Add(documentAskEvery)
+	e.nextDocumentRequest = e.now.Add(documentRequestInterval)
 	held := false
 	for _, m := range e.members.Members(e.now) {
 		if m.Linked {
@@ -141,26 +142,26 @@
 			held = held || m.ConfigVersion > 0
 		}
 	}
-	if !held && e.logUp && e.now.Sub(e.began) >= bootstrapAfter {
+	if !held && e.logUp && e.now.Sub(e.startedAt) >= bootstrapAfter {
 		e.accepted.Bootstrap()
 		e.applyCurrent()
 	}
 }
 
-func (e *Entry) documentAsked(from ident.Incarnation) {
+func (e *Entry) documentRequested(from ident.Incarnation) {
 	if _, version, data := e.accepted.Current(); version > 0 {
 		e.send(from, message.DocumentReply{Version: version, Data: data})
 	}
 }
 
-// documentTold takes the accepted document from a peer. Versions only rise, so
-// a peer that lags behind cannot bring an older document back.
-func (e *Entry) documentTold(r message.DocumentReply) {
-	if !e.on(guardVersion) {
+// documentReceived takes the accepted document from a peer. Versions only
+// increase, so a peer that lags cannot bring back an older document.
+func (e *Entry) documentReceived(r message.DocumentReply) {
+	if !e.enabled(guardVersion) {
 		e.accepted, e.version = acceptance.New(), 0
 	}
 	if err := e.accepted.Adopt(r.Version, r.Data); err != nil {
-		e.note(Decision{Event: EventDocument, Detail: err.Error()})
+		e.recordDecision(Decision{Event: EventDocument, Detail: err.Error()})
 		return
 	}
 	e.applyCurrent()
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry composes the duties of the core into the state machine of one
-// entry process: inputs in, outputs out, no I/O and no clock of its own.
+// Package entry combines the packages of internal/core into the state machine
+// of one entry process. It turns inputs into outputs, performs no I/O and reads
+// no clock.
 package entry
 
 import (
@@ -23,27 +24,29 @@
 	"sycamoretrail/internal/core/suspects"
 )
 
-// Policy names how places at targets are given out.
+// Policy selects how request slots at targets are allocated.
 type Policy string
 
 const (
-	// PolicyScheduler: one entry schedules each target and grants its places.
+	// PolicyScheduler assigns each target to one entry, which grants its slots.
 	PolicyScheduler Policy = "scheduler"
-	// PolicyShares: each entry uses a fixed share of each target. Baseline.
+	// PolicyShares gives each entry a fixed share of each target. Baseline for
+	// comparison.
 	PolicyShares Policy = "shares"
-	// PolicyAlone: each entry decides alone on stale reports, taking the better
-	// of two random targets. Baseline.
+	// PolicyAlone lets each entry decide independently on stale load reports,
+	// taking the better of two random targets. Baseline for comparison.
 	PolicyAlone Policy = "alone"
 )
 
-// inputValidity is how long a request may wait between its arrival and the
-// core: longer waits come from a paused process.
+// inputValidity is the longest time a request may wait between its arrival and
+// the core. A longer wait means that the process was paused.
 const inputValidity = time.Second
 
-// Config is what an entry is started with; all else comes from the document.
+// Config holds the start parameters of an entry. All other settings come from
+// the configuration document.
 type Config struct {
 	Self message.Member
-	// Seed feeds the entry's own pseudo-random choices.
+	// Seed initializes the entry's pseudo-random choices.
 	Seed   uint64
 	Policy Policy
 }
@@ -51,72 +54,76 @@
 // Entry is the state machine. It is not safe for concurrent use.
 type Entry struct {
 	cfg Config
-	// off is the safeguard that a test has switched off.
-	off   guard
-	now   time.Time
-	began time.Time
-	rng   *rand.Rand
-	out   []Output
+	// disabled is the safeguard that a test has switched off.
+	disabled  guard
+	now       time.Time
+	startedAt time.Time
+	rng       *rand.Rand
+	out       []Output
 
 	state   message.State
 	doc     *document.Document
 	index   *document.Index
 	version int64
 	timing  timing
-	// fastest is the least declared step time of each pool's targets.
+	// fastest maps each pool to the shortest declared step time of its targets.
 	fastest map[string]time.Duration
-	// wokeAt is when this process last found that it had stood still.
-	wokeAt time.Time
-	// quorum: this entry is in touch with most members; quorumLost: since when not.
-	quorum     bool
-	quorumLost time.Time
+	// resumedAt is when this process last detected that it had been paused.
+	resumedAt time.Time
+	// quorum is true while this entry is connected to most members.
+	// quorumLostAt is when it last lost them.
+	quorum       bool
+	quorumLostAt time.Time
 
-	accepted *acceptance.Acceptance
-	ids      *owner.Table
-	members  *membership.Membership
-	places   *scheduler.Scheduler
-	share    *scheduler.Scheduler
-	router   *routing.Router
-	claims   *claims.Home
-	suspects *suspects.Suspects
-	orders   *orders.Orders
-	drain    *drain.Drain
+	accepted       *acceptance.Acceptance
+	ids            *owner.Table
+	members        *membership.Membership
+	scheduler      *scheduler.Scheduler
+	shareScheduler *scheduler.Scheduler
+	router         *routing.Router
+	claims         *claims.Home
+	suspects       *suspects.Suspects
+	orders         *orders.Orders
+	drain          *drain.Drain
 
-	flights         map[ident.RequestID]*flight
-	asking          map[ident.RequestID][]ident.RequestID
+	flights map[ident.RequestID]*flight
+	// losersByWinner lists, by the id that holds a key, the requests that
+	// wait for its outcome.
+	losersByWinner  map[ident.RequestID][]ident.RequestID
 	perOrganisation map[string]int
-	seats           seats
-	alarms          alarms
-	asks            uint64
+	evictable       evictionCandidates
+	timers          timerHeap
+	requestSeq      uint64
 
-	plan    *placement.Plan
-	homes   [partitions]ident.Incarnation
-	watches map[string]*targetWatch
-	// watchedOrders are targets held elsewhere that are probed for their orders.
+	plan         *placement.Plan
+	coordinators [partitions]ident.Incarnation
+	availability map[string]*targetAvailability
+	// watchedOrders lists targets of other schedulers that are probed because
+	// this entry's orders wait for them.
 	watchedOrders []string
 
-	deaths     map[string]*death
-	deathOrder []string
-	deathCount int
+	crashes    map[string]*targetCrash
+	crashOrder []string
+	crashCount int
 
-	pending           map[uint64]pendingAppend
-	appends           uint64
-	partitionByStream map[record.Stream]int
-	verdicts          []acceptance.Verdict
-	jitterShare       float64
-	seekAt            time.Time
+	pending             map[uint64]pendingAppend
+	appendSeq           uint64
+	partitionByStream   map[record.Stream]int
+	documentResults     []acceptance.Verdict
+	jitterShare         float64
+	nextDocumentRequest time.Time
 
 	inbox, inboxStore []delivery
 	journal           journal
 
-	membersAt time.Time
-	digestsAt time.Time
+	nextMembersCheck time.Time
+	nextDigests      time.Time
 
-	answering int
-	following bool
-	logUp     bool
-	changed   bool
-	prefix    ident.Prefix
+	openAnswers int
+	following   bool
+	logUp       bool
+	viewChanged bool
+	prefix      ident.Prefix
 }
 
 // New starts an entry's state machine.
@@ -125,7 +132,7 @@
 		cfg.Policy = PolicyScheduler
 	}
 	e := &Entry{
-		cfg: cfg, now: now, began: now,
+		cfg: cfg, now: now, startedAt: now,
 		rng:             rand.New(rand.NewPCG(cfg.Seed, uint64(now.UnixNano()))),
 		state:           message.Starting,
 		timing:          startingTiming,
@@ -135,12 +142,12 @@
 		plan:            placement.NewPlan(),
 		orders:          orders.New(orders.DefaultConfig(cfg.Self.Incarnation)),
 		flights:         make(map[ident.RequestID]*flight),
-		asking:          make(map[ident.RequestID][]ident.RequestID),
+		losersByWinner:  make(map[ident.RequestID][]ident.RequestID),
 		perOrganisation: make(map[string]int),
-		watches:         make(map[string]*targetWatch),
-		deaths:          make(map[string]*death),
+		availability:    make(map[string]*targetAvailability),
+		crashes:         make(map[string]*targetCrash),
 		pending:         make(map[uint64]pendingAppend),
-		changed:         true,
+		viewChanged:     true,
 	}
 	e.jitterShare = e.rng.Float64()
 	e.partitionByStream = make(map[record.Stream]int, partitions)
@@ -154,31 +161,31 @@
 	}, now)
 	e.members = membership.New(cfg.Self, e.membershipConfig(), now)
 	e.claims = claims.New(claimsConfig(e.timing.horizon))
-	e.places = scheduler.New(cfg.Self.Incarnation, cfg.Seed, estimator)
-	e.share = scheduler.New(cfg.Self.Incarnation, cfg.Seed+1, estimator)
+	e.scheduler = scheduler.New(cfg.Self.Incarnation, cfg.Seed, estimator)
+	e.shareScheduler = scheduler.New(cfg.Self.Incarnation, cfg.Seed+1, estimator)
 	return e
 }
 
-// estimator gives a scheduler the learned speed of a target.
+// estimator returns the estimator that learns the speed of a target.
 func estimator(t scheduler.Target) scheduler.Estimator {
 	return estimate.New(estimate.Prior{
 		PrefillRate: t.PrefillRate, StepTime: t.StepTime, MaxInFlight: t.MaxInFlight, Service: t.Service,
 	})
 }
 
-// Step takes one input and returns what is to be done, in order. The slice is
-// valid until the next call.
+// Step handles one input and returns the resulting outputs in order. The slice
+// is valid until the next call.
 func (e *Entry) Step(now time.Time, in Input) []Output {
 	if now.After(e.now) {
 		e.now = now
 	}
 	e.out = e.out[:0]
-	e.follow()
-	e.lookAtMembers()
+	e.followStreams()
+	e.checkMembers()
 	e.handle(in)
 	e.drainInbox()
-	e.settleState()
-	e.lookAtMembers()
+	e.updateState()
+	e.checkMembers()
 	e.drainInbox()
 	e.publish()
 	return e.out
@@ -189,15 +196,16 @@
 	case Submit:
 		e.submit(in.Request)
 	case CallerGone:
-		e.callerGone(in.ID)
+		e.callerLeft(in.ID)
 	case PeerUp:
 		e.members.Up(e.now, in.Member)
 	case PeerDown:
 		e.members.Down(e.now, in.Incarnation, in.Refused)
 	case FromPeer:
-		e.deliver(in.From, in.Message, fromPlaces)
+		e.deliver(in.From, in.Message, fromScheduler)
 	case RunStarted:
-		// The dispatch was counted when it was put out; the first token matters.
+		// Nothing to do: the slot is taken since the dispatch, and the first
+		// token arrives as RunProgress.
 	case RunProgress:
 		e.runProgress(in)
 	case RunEnded:
@@ -217,7 +225,7 @@
 	case OrderDone:
 		e.performOrders(e.orders.OrderDone(e.now, in.Target, in.Refused, in.Failed))
 	case Answering:
-		e.answering = in.Open
+		e.openAnswers = in.Open
 	case DrainStart:
 		e.drain.Configure(e.drainConfig())
 		e.drain.Start(e.now)
@@ -226,50 +234,51 @@
 	}
 }
 
-// tick lets time pass for every duty.
+// tick advances all components to the current time.
 func (e *Entry) tick() {
-	e.beat()
-	e.ring()
-	e.perform(e.places.Tick(e.now), fromPlaces)
-	e.perform(e.share.Tick(e.now), fromShare)
+	e.sendHeartbeats()
+	e.fireTimers()
+	e.perform(e.scheduler.Tick(e.now), fromScheduler)
+	e.perform(e.shareScheduler.Tick(e.now), fromShare)
 	e.performClaims(e.claims.Tick(e.now))
 	e.performOrders(e.orders.Tick(e.now))
-	e.watchOrders()
-	e.closeDeaths()
+	e.updateWatchedOrders()
+	e.expireCrashes()
 	e.ids.Expire(e.now)
 	e.renew()
-	e.seekDocument()
+	e.requestDocument()
 }
 
-// follow begins to read the log's streams that every entry needs.
-func (e *Entry) follow() {
+// followStreams starts reading the log streams that every entry needs.
+func (e *Entry) followStreams() {
 	if e.following {
 		return
 	}
 	e.following = true
 	for _, stream := range []record.Stream{record.StreamDocuments, record.StreamVerdicts, record.StreamOrders} {
-		e.emit(Follow{Stream: stream, Back: everything})
+		e.emit(Follow{Stream: stream, Back: fromOldest})
 	}
 }
 
-// everything asks for a stream from its oldest record.
-const everything = time.Duration(1<<63 - 1)
+// fromOldest makes Follow read a stream from its oldest record.
+const fromOldest = time.Duration(1<<63 - 1)
 
 func (e *Entry) emit(o Output) { e.out = append(e.out, o) }
 
-// note records a decision for the operators.
-func (e *Entry) note(d Decision) {
+// recordDecision stores a decision for Explain and emits it for the log.
+func (e *Entry) recordDecision(d Decision) {
 	e.journal.add(e.now, d)
 	e.emit(d)
 }
 
-// jitter spreads a wait over half to one and a half of its length, so that
-// callers refused together do not come back together.
+// jitter varies a wait between half and one and a half times its length, so
+// that callers refused together do not retry together.
 func (e *Entry) jitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(e.rng.Int64N(int64(wait)+1))
 }
 
-// organisationLimit is the organisation's bound of requests in flight here.
+// organisationLimit returns how many requests the organisation may have in
+// flight at this entry; 0 means no limit.
 func (e *Entry) organisationLimit(name string) int {
 	org, known := e.index.Organisation(name)
 	if !known {
--- a/internal/core/entry/flight.go
+++ b/internal/core/entry/flight.go
@@ -10,81 +10,90 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// stage is how far a request has come at its owner.
+// stage is the progress of a request at this entry.
 type stage uint8
 
 const (
-	// stageAsking: the id's owner is another entry, which is being asked.
-	stageAsking stage = iota
-	// stageSeeking: the owner is gone, and its run is being looked for.
-	stageSeeking
+	// stageQuerying: another entry owns the id and is being queried.
+	stageQuerying stage = iota
+	// stageSearching: the owner has departed or does not answer; its run is
+	// being searched for.
+	stageSearching
 	// stageClaiming: the idempotency key is being claimed on the log.
 	stageClaiming
-	// stageWaiting: no offer is out; the next attempt is due at wake.
+	// stageWaiting: no offer is pending; the next attempt is due at wake.
 	stageWaiting
 	// stageOffered: a scheduler has the offer.
 	stageOffered
 	// stageRunning: dispatched, and not known to have ended.
 	stageRunning
-	// stageEnded: settled; the flight is only kept until the step ends.
+	// stageEnded: settled; the flight is dropped.
 	stageEnded
 )
 
-// asksRemembered is how many of a flight's latest offers a grant may quote.
-const asksRemembered = 4
+// maxSentOffers is how many of a flight's latest offers are kept to match
+// grants.
+const maxSentOffers = 4
 
-// ask is one sending of an offer.
-type ask struct {
+// sentOffer records when an offer was sent.
+type sentOffer struct {
 	number uint64
 	sent   time.Time
 }
 
-// flight is a request that this entry has taken and not settled.
+// flight is a request that this entry tracks until it is settled.
 type flight struct {
 	req   request.Request
 	stage stage
 
-	// subject is the id asked about: the request's own, or the winner of its key.
+	// subject is the id whose state is queried: the request's own id, or the id
+	// that holds its key.
 	subject ident.RequestID
-	// asked is the entry that was asked last, in stageAsking and stageClaiming.
-	asked ident.Incarnation
-	// keyRead: the log told whether another request of the key came first.
+	// queried is the entry queried last, in stageQuerying and stageClaiming.
+	queried ident.Incarnation
+	// keyRead is true if the log has shown whether another request of the key
+	// came first.
 	keyRead bool
-	// doubt is what the caller is told if its run is not found in stageSeeking.
-	doubt outcome.Status
-	// giveUp ends stageAsking and stageClaiming.
-	giveUp time.Time
-
-	target    string
-	scheduler ident.Incarnation
-	asks      [asksRemembered]ask
-	offeredAt time.Time
-	// heard: the scheduler has answered the present offer.
-	heard bool
-	// own: the present offer is at this entry's own share of the target.
-	own bool
-	// final: the scheduler was told that its refusal is the last word.
+	// fallbackStatus settles the request if stageSearching finds no run.
+	fallbackStatus outcome.Status
+	// giveUpAt ends stageQuerying and stageClaiming.
+	giveUpAt time.Time
+
+	target     string
+	scheduler  ident.Incarnation
+	sentOffers [maxSentOffers]sentOffer
+	offeredAt  time.Time
+	// acknowledged is true once the scheduler has queued the current offer.
+	acknowledged bool
+	// onShare is true if the current offer uses this entry's own share of the
+	// target.
+	onShare bool
+	// final is true if offers are marked final: a refusal is decided for the
+	// whole pool.
 	final bool
 	tried []string
-	// pause is the latest one between two rounds of offers.
-	pause time.Duration
+	// lastPause is the latest pause between two rounds of offers.
+	lastPause time.Duration
 
 	started    bool
 	tokens     int
 	dispatched time.Time
-	// verdict is what the caller was told when the run was cancelled.
-	verdict outcome.Status
-	// gone: since when nobody waits for the answer.
-	gone time.Time
+	// cancelStatus is the status given to the caller when the run was
+	// cancelled.
+	cancelStatus outcome.Status
+	// callerLeftAt is when the last caller of a run that may be cancelled
+	// disconnected; zero otherwise.
+	callerLeftAt time.Time
 
 	wake time.Time
-	// seat is the flight's place in its tier's list of displaceable flights.
-	seat seat
+	// evictionPosition is the flight's position in the list of eviction
+	// candidates of its tier.
+	evictionPosition listPosition
 }
 
-// sentAt finds when the offer that a grant quotes was sent.
+// sentAt returns when the offer that a grant refers to was sent.
 func (f *flight) sentAt(number uint64) (time.Time, bool) {
-	for _, a := range f.asks {
+	for _, a := range f.sentOffers {
 		if a.number == number && number != 0 {
 			return a.sent, true
 		}
@@ -92,9 +101,9 @@
 	return time.Time{}, false
 }
 
-func (f *flight) remember(a ask) {
-	copy(f.asks[1:], f.asks[:asksRemembered-1])
-	f.asks[0] = a
+func (f *flight) rememberOffer(a sentOffer) {
+	copy(f.sentOffers[1:], f.sentOffers[:maxSentOffers-1])
+	f.sentOffers[0] = a
 }
 
 func (f *flight) hasTried(target string) bool {
@@ -106,60 +115,60 @@
 	return false
 }
 
-// alarm is a flight's wish to be looked at.
-type alarm struct {
+// timer schedules the next handling of a flight.
+type timer struct {
 	at time.Time
 	id ident.RequestID
 }
 
-// alarms is a heap of wishes, the earliest first. A wish that its flight has
-// replaced by another stays in the heap and is skipped when its time comes.
-type alarms []alarm
+// timerHeap orders timers by time. A timer that its flight has replaced stays
+// in the heap and is skipped when it fires.
+type timerHeap []timer
 
-func (a alarms) Len() int { return len(a) }
-func (a alarms) Less(i, j int) bool {
+func (a timerHeap) Len() int { return len(a) }
+func (a timerHeap) Less(i, j int) bool {
 	if !a[i].at.Equal(a[j].at) {
 		return a[i].at.Before(a[j].at)
 	}
 	return a[i].id < a[j].id
 }
-func (a alarms) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a timerHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
-// Push adds an alarm; called by container/heap only.
-func (a *alarms) Push(x any) { *a = append(*a, x.(alarm)) }
+// Push adds a timer; called by container/heap only.
+func (a *timerHeap) Push(x any) { *a = append(*a, x.(timer)) }
 
-// Pop takes the last alarm; called by container/heap only.
-func (a *alarms) Pop() any {
+// Pop removes the last timer; called by container/heap only.
+func (a *timerHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return last
 }
 
-// wakeAt asks for the flight to be looked at.
+// wakeAt sets the flight's timer.
 func (e *Entry) wakeAt(f *flight, at time.Time) {
 	if f.wake.Equal(at) {
 		return
 	}
 	f.wake = at
-	heap.Push(&e.alarms, alarm{at: at, id: f.req.ID})
+	heap.Push(&e.timers, timer{at: at, id: f.req.ID})
 }
 
-// ring wakes the flights that are due.
-func (e *Entry) ring() {
-	for len(e.alarms) > 0 && !e.alarms[0].at.After(e.now) {
-		due := heap.Pop(&e.alarms).(alarm)
+// fireTimers handles the flights whose timers are due.
+func (e *Entry) fireTimers() {
+	for len(e.timers) > 0 && !e.timers[0].at.After(e.now) {
+		due := heap.Pop(&e.timers).(timer)
 		f := e.flights[due.id]
 		if f == nil || !f.wake.Equal(due.at) {
 			continue
 		}
 		f.wake = time.Time{}
-		e.attend(f)
+		e.handleTimer(f)
 	}
 }
 
-// flightsInOrder lists the flights by id, so that outputs do not depend on the
-// order of a map.
+// flightsInOrder returns the flights sorted by id, so that outputs do not
+// depend on map order.
 func (e *Entry) flightsInOrder() []*flight {
 	ids := make([]string, 0, len(e.flights))
 	for id := range e.flights {
--- a/internal/core/entry/foreign.go
+++ b/internal/core/entry/foreign.go
@@ -8,77 +8,80 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// askOwner begins to find out what became of subject, an id that another entry
-// owns: the request's own id sent again here, or the winner of its key.
-func (e *Entry) askOwner(req request.Request, subject ident.RequestID, holder ident.Incarnation) {
-	f := &flight{req: req, subject: subject, stage: stageAsking, giveUp: e.now.Add(e.timing.silence)}
+// queryOwner starts to query the state of subject, an id that another entry
+// owns: the request's own id, resent to this entry, or the id that holds its
+// key.
+func (e *Entry) queryOwner(req request.Request, subject ident.RequestID, holder ident.Incarnation) {
+	f := &flight{req: req, subject: subject, stage: stageQuerying, giveUpAt: e.now.Add(e.timing.silence)}
 	if e.flights[req.ID] != nil {
 		e.emit(Join{ID: req.ID, Of: req.ID})
 		return
 	}
-	e.enter(f)
-	e.ask(f, holder)
+	e.addFlight(f)
+	e.sendOwnerQuery(f, holder)
 }
 
-// ask puts the question to an entry. An owner to which no link stands has been
-// replaced or cannot be reached; then only its run may still be found.
-func (e *Entry) ask(f *flight, holder ident.Incarnation) {
+// sendOwnerQuery queries an entry. An owner without a link has been replaced or
+// cannot be reached; then only its run may still be found.
+func (e *Entry) sendOwnerQuery(f *flight, holder ident.Incarnation) {
 	if holder == e.cfg.Self.Incarnation {
-		e.askSelf(f)
+		e.resolveLocally(f)
 		return
 	}
 	if !e.members.Reachable(holder) {
-		e.seek(f, e.ownerGone())
+		e.searchRun(f, e.ownerDeparted())
 		return
 	}
-	f.asked = holder
-	e.asks++
-	e.send(holder, message.OwnerAsk{Seq: e.asks, ID: f.subject, Known: f.subject != f.req.ID, Tag: owner.Tag(f.req.Organisation)})
+	f.queried = holder
+	e.requestSeq++
+	e.send(holder, message.OwnerAsk{Seq: e.requestSeq, ID: f.subject, Known: f.subject != f.req.ID, Tag: owner.Tag(f.req.Organisation)})
 	e.wakeAt(f, e.now.Add(e.timing.grant))
 }
 
-// askSelf answers from this entry's own memory, where a key's winner was given up
-// to this entry. Of any other id that leads back here nothing is known.
-func (e *Entry) askSelf(f *flight) {
-	told := e.told(f.subject)
-	switch told.Standing {
+// resolveLocally handles a query that leads back to this entry. If the subject
+// holds the request's key and its id was handed over to this entry, the request
+// joins it. Otherwise nothing is recorded here, and the run is searched for.
+func (e *Entry) resolveLocally(f *flight) {
+	state := e.stateOf(f.subject)
+	switch state.Standing {
 	case message.StandingWaiting, message.StandingRunning, message.StandingFinished:
 		if f.subject != f.req.ID {
-			e.joinWinner(f, f.subject, told)
+			e.joinWinner(f, f.subject, state)
 			return
 		}
 	}
-	e.seek(f, e.ownerGone())
+	e.searchRun(f, e.ownerDeparted())
 }
 
-func (e *Entry) attendAsking(f *flight) {
-	if !e.now.Before(f.giveUp) && e.on(guardGiveUp) {
-		e.seek(f, outcome.Undetermined(outcome.ReasonOwnerUnreachable, "the entry that owns the id does not answer"))
+func (e *Entry) handleQueryTimer(f *flight) {
+	if !e.now.Before(f.giveUpAt) && e.enabled(guardGiveUp) {
+		e.searchRun(f, outcome.Undetermined(outcome.ReasonOwnerUnreachable, "the entry that owns the id does not answer"))
 		return
 	}
-	e.ask(f, f.asked)
+	e.sendOwnerQuery(f, f.queried)
 }
 
-// ownerAsked answers a peer's question about an id that is owned here.
-func (e *Entry) ownerAsked(from ident.Incarnation, q message.OwnerAsk) {
+// ownerQueried answers a peer's query about an id that this entry owns.
+func (e *Entry) ownerQueried(from ident.Incarnation, q message.OwnerAsk) {
 	if q.Orphan {
-		e.orphanAsked(from, q)
+		e.orphanQueried(from, q)
 		return
 	}
-	reply := e.standingFor(from, q)
+	reply := e.stateFor(from, q)
 	reply.Seq = q.Seq
 	e.send(from, reply)
 }
 
-func (e *Entry) standingFor(from ident.Incarnation, q message.OwnerAsk) message.OwnerReply {
+func (e *Entry) stateFor(from ident.Incarnation, q message.OwnerAsk) message.OwnerReply {
 	if q.Known {
-		// The asker wants the outcome of another's request, not its id.
-		return e.told(q.ID)
+		// The requester needs the outcome of another request and does not take
+		// over its id.
+		return e.stateOf(q.ID)
 	}
 	if !e.ids.Belongs(e.now, q.ID, q.Tag) {
-		return message.OwnerReply{ID: q.ID, Standing: message.StandingFinished, Status: anothersID()}
+		return message.OwnerReply{ID: q.ID, Standing: message.StandingFinished, Status: idTaken()}
 	}
-	if !e.on(guardVoid) {
+	if !e.enabled(guardVoid) {
 		return message.OwnerReply{ID: q.ID, Standing: message.StandingVoided}
 	}
 	reply := e.ids.Ask(e.now, from, q.ID)
@@ -88,8 +91,9 @@
 	return reply
 }
 
-// told says what is remembered of an id, without recording anything.
-func (e *Entry) told(id ident.RequestID) message.OwnerReply {
+// stateOf returns what this entry remembers of an id, without recording
+// anything.
+func (e *Entry) stateOf(id ident.RequestID) message.OwnerReply {
 	known := e.ids.Standing(e.now, id)
 	reply := message.OwnerReply{ID: id, Standing: message.StandingExpired}
 	switch known.Kind {
@@ -104,11 +108,11 @@
 	return reply
 }
 
-// ownerTold acts on what the owner said.
-func (e *Entry) ownerTold(from ident.Incarnation, r message.OwnerReply) {
-	for _, f := range e.waitingFor(r.ID, stageAsking) {
-		if f.asked == from {
-			e.followStanding(f, from, r)
+// ownerReplied handles the owner's reply to a query.
+func (e *Entry) ownerReplied(from ident.Incarnation, r message.OwnerReply) {
+	for _, f := range e.waitingFor(r.ID, stageQuerying) {
+		if f.queried == from {
+			e.followState(f, from, r)
 		}
 	}
 	if r.Standing == message.StandingRunning {
@@ -116,14 +120,14 @@
 	}
 }
 
-// waitingFor lists the flights that wait for word on an id, in the order in
-// which they came.
+// waitingFor returns the flights in stage at that wait for the state of
+// subject, in order of arrival.
 func (e *Entry) waitingFor(subject ident.RequestID, at stage) []*flight {
 	if f := e.flights[subject]; f != nil && f.stage == at && f.subject == subject {
 		return []*flight{f}
 	}
 	var found []*flight
-	for _, id := range e.asking[subject] {
+	for _, id := range e.losersByWinner[subject] {
 		if f := e.flights[id]; f != nil && f.stage == at {
 			found = append(found, f)
 		}
@@ -131,28 +135,29 @@
 	return found
 }
 
-func (e *Entry) followStanding(f *flight, holder ident.Incarnation, r message.OwnerReply) {
+func (e *Entry) followState(f *flight, holder ident.Incarnation, r message.OwnerReply) {
 	switch r.Standing {
 	case message.StandingVoided:
 		e.adopt(f)
 	case message.StandingElsewhere:
-		e.ask(f, r.Delegate)
+		e.sendOwnerQuery(f, r.Delegate)
 	case message.StandingWaiting:
-		f.giveUp = earlier(e.now.Add(e.timing.silence), f.req.Deadline)
+		f.giveUpAt = earlier(e.now.Add(e.timing.silence), f.req.Deadline)
 	case message.StandingRunning:
 		e.followRun(f, holder, r.Target)
 	case message.StandingFinished:
 		e.followFinished(f, holder, r)
 	default:
-		e.settleForeign(f, outcome.Undetermined(outcome.ReasonIDExpired, "the owner no longer remembers the id"))
+		e.settleRemote(f, outcome.Undetermined(outcome.ReasonIDExpired, "the owner no longer remembers the id"))
 	}
 }
 
-// adopt makes this entry the owner of an id that its former owner gave up.
+// adopt makes this entry the owner of an id that its previous owner handed
+// over.
 func (e *Entry) adopt(f *flight) {
-	e.leave(f)
+	e.removeFlight(f)
 	if !e.ids.Adopt(e.now, f.req.ID) {
-		e.refuseUnseen(&f.req, outcome.Refused(outcome.ReasonEntryFull, retrySoon, "the entry remembers no more ids"))
+		e.refuseUntracked(&f.req, outcome.Refused(outcome.ReasonEntryFull, retrySoon, "the entry remembers no more ids"))
 		return
 	}
 	e.ids.Mark(e.now, f.req.ID, owner.Tag(f.req.Organisation))
@@ -160,21 +165,21 @@
 }
 
 // followRun attaches the caller to a run that another entry dispatched. An
-// engine serves the stream again itself; a plain service's answer is with its
-// owner alone.
+// engine can serve the stream again itself; the answer of a plain service is
+// held by its owner alone.
 func (e *Entry) followRun(f *flight, holder ident.Incarnation, target string) {
 	spec, known := e.index.Target(target)
 	if f.req.Kind == request.Engine && known {
-		e.leaveForeign(f)
+		e.removeRemote(f)
 		e.emit(Attach{ID: f.req.ID, Of: f.subject, Target: target, Address: spec.Address})
 		return
 	}
 	address, reachable := e.members.CallerAddress(holder)
 	if !reachable {
-		e.settleForeign(f, outcome.Undetermined(outcome.ReasonOwnerUnreachable, "the entry that holds the answer cannot be reached"))
+		e.settleRemote(f, outcome.Undetermined(outcome.ReasonOwnerUnreachable, "the entry that holds the answer cannot be reached"))
 		return
 	}
-	e.leaveForeign(f)
+	e.removeRemote(f)
 	e.emit(SeeOther{ID: f.req.ID, Of: f.subject, Target: target, Address: address})
 }
 
@@ -183,31 +188,32 @@
 		e.followRun(f, holder, r.Target)
 		return
 	}
-	e.settleForeign(f, r.Status)
+	e.settleRemote(f, r.Status)
 }
 
-// settleForeign tells the caller what is known of an id that is not owned here.
-// Nothing is recorded: only the owner's word is.
-func (e *Entry) settleForeign(f *flight, status outcome.Status) {
-	e.leaveForeign(f)
+// settleRemote gives the caller the known status of an id that another entry
+// owns. The status is not recorded, because only the owner's is final.
+func (e *Entry) settleRemote(f *flight, status outcome.Status) {
+	e.removeRemote(f)
 	if f.subject != f.req.ID {
-		// The word on the key's first request is the word on the key.
-		e.tell(f.req.ID, status)
+		// The status of the key's first request applies to the key.
+		e.settleUntracked(f.req.ID, status)
 		return
 	}
-	e.refuseUnseen(&f.req, status)
+	e.refuseUntracked(&f.req, status)
 }
 
-func (e *Entry) leaveForeign(f *flight) {
-	e.leave(f)
+// removeRemote stops tracking a flight whose subject another entry owns.
+func (e *Entry) removeRemote(f *flight) {
+	e.removeFlight(f)
 	if f.subject == f.req.ID {
 		return
 	}
-	// A loser of its key runs never. Its claim is released, or it would hold
-	// the key once the winner's claim is released or has aged out.
+	// A request that lost its key never runs. Its claim is released; otherwise
+	// it would hold the key once the winner's claim is released or has expired.
 	e.releaseKey(&f.req)
 	e.ids.Finish(e.now, f.req.ID, outcome.Refused(outcome.ReasonDuplicateKey, 0, "the idempotency key belongs to another request"))
-	waiting := e.asking[f.subject]
+	waiting := e.losersByWinner[f.subject]
 	for i, id := range waiting {
 		if id == f.req.ID {
 			waiting = append(waiting[:i:i], waiting[i+1:]...)
@@ -215,8 +221,8 @@
 		}
 	}
 	if len(waiting) == 0 {
-		delete(e.asking, f.subject)
+		delete(e.losersByWinner, f.subject)
 		return
 	}
-	e.asking[f.subject] = waiting
+	e.losersByWinner[f.subject] = waiting
 }
--- a/internal/core/entry/inspect.go
+++ b/internal/core/entry/inspect.go
@@ -8,22 +8,23 @@
 	"sycamoretrail/internal/core/scheduler"
 )
 
-// Status is what operators see of an entry.
+// Status is the state of an entry as shown to operators.
 type Status struct {
 	Self     message.Member
 	State    message.State
 	Version  int64
 	Document string
 	InFlight int
-	// LogUp: the stream of documents could be read lately.
+	// LogUp is true if the last read of the documents stream succeeded.
 	LogUp bool
 	Peers []membership.View
-	// RememberedIDs and ClaimedKeys are the sizes of the bounded memories.
+	// RememberedIDs and ClaimedKeys are the current sizes of the bounded
+	// tables.
 	RememberedIDs int
 	ClaimedKeys   int
 }
 
-// Status tells how the entry stands.
+// Status returns the current state of the entry.
 func (e *Entry) Status() Status {
 	s := Status{
 		Self: e.cfg.Self, State: e.state, Version: e.version, InFlight: len(e.flights),
@@ -36,13 +37,14 @@
 	return s
 }
 
-// TargetStatus is what an entry knows of one target.
+// TargetStatus is the state of one target as known to an entry.
 type TargetStatus struct {
 	Name, Pool, Class, Zone string
 	Scheduler               ident.Incarnation
 	SchedulerName           string
-	// Here: this entry schedules it and View is exact; else Digest is the last
-	// that the scheduler sent, if one was heard.
+	// Here is true if this entry schedules the target; then View is exact.
+	// Otherwise Digest is the latest one that the scheduler sent, and Heard is
+	// true if there is one.
 	Here    bool
 	View    scheduler.TargetView
 	Digest  message.Digest
@@ -50,17 +52,17 @@
 	Leaving bool
 }
 
-// Targets lists all targets of the document by its order.
+// Targets lists all targets in the order of the document.
 func (e *Entry) Targets() []TargetStatus {
 	if e.doc == nil {
 		return nil
 	}
 	views := make(map[string]scheduler.TargetView)
-	for _, v := range e.places.Inspect(e.now) {
+	for _, v := range e.scheduler.Inspect(e.now) {
 		views[v.Name] = v
 	}
 	digests := make(map[string]message.Digest)
-	for _, d := range e.places.Digests(e.now) {
+	for _, d := range e.scheduler.Digests(e.now) {
 		digests[d.Target] = d
 	}
 	memberNames := map[ident.Incarnation]string{e.cfg.Self.Incarnation: e.cfg.Self.Name}
@@ -86,54 +88,55 @@
 }
 
 func (e *Entry) leaving(target string) bool {
-	w := e.watches[target]
+	w := e.availability[target]
 	return w != nil && (w.leavingProbe || w.leavingList || w.leavingAnswer)
 }
 
-// FloorStatus is a floor in force at this entry.
+// FloorStatus is a tier floor in force at this entry: the lowest tier that a
+// pool admits.
 type FloorStatus struct {
 	Pool string
 	Tier request.Tier
 }
 
-// Floors lists the pools in which lower tiers are not admitted now.
+// Floors lists the pools that currently do not admit all tiers.
 func (e *Entry) Floors() []FloorStatus {
 	if e.doc == nil {
 		return nil
 	}
 	lowest := make(map[string]request.Tier)
-	for _, v := range e.places.Inspect(e.now) {
+	for _, v := range e.scheduler.Inspect(e.now) {
 		if int(v.Floor) < len(e.doc.Tiers)-1 {
 			lowest[v.Pool] = v.Floor
 		}
 	}
 	var list []FloorStatus
 	for i := range e.doc.Pools {
-		if tier, stands := lowest[e.doc.Pools[i].Name]; stands {
+		if tier, found := lowest[e.doc.Pools[i].Name]; found {
 			list = append(list, FloorStatus{Pool: e.doc.Pools[i].Name, Tier: tier})
 		}
 	}
 	return list
 }
 
-// Explanation is what an entry remembers of a request.
+// Explanation holds what an entry remembers of a request.
 type Explanation struct {
-	// Known: the request is or was here.
+	// Known is true if this entry tracks or tracked the request.
 	Known    bool
 	Owner    ident.Incarnation
 	Standing message.Standing
-	Noted    []Noted
+	Noted    []TimedDecision
 }
 
-// Explain tells what was decided on a request, and why.
+// Explain returns the decisions on a request with their reasons.
 func (e *Entry) Explain(id ident.RequestID) Explanation {
 	var x Explanation
 	if parts, err := ident.Parse(id); err == nil {
 		x.Owner = parts.Owner
 	}
-	told := e.told(id)
-	x.Standing = told.Standing
-	x.Noted = e.journal.about(id)
-	x.Known = len(x.Noted) > 0 || told.Standing != message.StandingExpired
+	state := e.stateOf(id)
+	x.Standing = state.Standing
+	x.Noted = e.journal.decisionsOn(id)
+	x.Known = len(x.Noted) > 0 || state.Standing != message.StandingExpired
 	return x
 }
--- a/internal/core/entry/io.go
+++ b/internal/core/entry/io.go
@@ -10,82 +10,86 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Input is something that happened. Each is delivered once, in order, by the
-// entry's core loop.
+// Input is an event. The core loop of the entry delivers each event once, in
+// order.
 type Input interface{ input() }
 
-// Output is something to be done. Outputs of one step are carried out in order.
+// Output is an action to carry out. The outputs of a step are carried out in
+// order.
 type Output interface{ output() }
 
-// Submit brings a request from a caller. If its id is known here the request
-// joins what is there; if its id names another owner, that owner is asked.
+// Submit delivers a request from a caller. If the entry knows the id, the
+// request joins the existing one; if the id names another owner, that owner is
+// queried.
 type Submit struct {
 	Request request.Request
 }
 
-// CallerGone says that nobody waits for the request's answer any more.
+// CallerGone reports that the last caller waiting for the request has
+// disconnected.
 type CallerGone struct{ ID ident.RequestID }
 
-// PeerUp says that a link to a peer stands, and who it is.
+// PeerUp reports that a link to a peer is established, and the peer's identity.
 type PeerUp struct{ Member message.Member }
 
-// PeerDown says that a link broke. Refused: the peer's address refuses
-// connections or answers as another incarnation, so that process is gone.
+// PeerDown reports that a link broke. Refused: the peer's address refuses
+// connections or answers as another incarnation, so that process has ended.
 type PeerDown struct {
 	Incarnation ident.Incarnation
 	Refused     bool
 }
 
-// FromPeer brings a message over a peer link.
+// FromPeer delivers a message from a peer link.
 type FromPeer struct {
 	From    ident.Incarnation
 	Message message.Message
 }
 
-// RunStarted: the target took the request.
+// RunStarted reports that the target accepted the request.
 type RunStarted struct{ ID ident.RequestID }
 
-// RunProgress reports tokens received so far; sent at most every 100 ms a run.
+// RunProgress reports the tokens received so far, at most every 100 ms per run.
 type RunProgress struct {
 	ID     ident.RequestID
 	Tokens int
 }
 
-// RunEnded: the run at the target is over.
+// RunEnded reports the end of a run at its target.
 type RunEnded struct {
 	ID     ident.RequestID
 	Result message.Result
 	Sample message.Sample
-	// Wrote: part of the request may have reached the target.
+	// Wrote is true if part of the request may have reached the target.
 	Wrote bool
 }
 
-// TargetState is a finding of a target's readiness probe or load report.
+// TargetState is the result of a target's readiness probe or load report.
 type TargetState struct {
 	Target string
-	// Reachable is false after the probe failed; Leaving when it says so.
+	// Reachable is false after a failed probe. Leaving is true if the target
+	// reports that it is leaving.
 	Reachable bool
 	Leaving   bool
-	// Load fields are stale by the engine's lag.
+	// The load fields lag by the engine's reporting delay.
 	Running, Waiting int
 	CachedTokens     int
-	// Model, Version and Adapters say what the target holds now.
+	// Model, Version and Adapters describe what the target currently holds.
 	Model    string
 	Version  string
 	Adapters []string
 }
 
-// LogRecord brings one record of a followed stream, in offset order.
+// LogRecord delivers one record of a followed stream, in offset order.
 type LogRecord struct {
 	Stream record.Stream
 	Offset int64
-	// Age is how long ago the log took it, by the log's clock.
+	// Age is the time since the log stored the record, by the log's clock.
 	Age  time.Duration
 	Data []byte
 }
 
-// LogCaughtUp: every record of the stream below Offset, as of a read begun at
-// the instant Since, has been delivered.
+// LogCaughtUp reports that every record of the stream below Offset has been
+// delivered, as of a read that began at Since.
 type LogCaughtUp struct {
 	Stream record.Stream
 	Offset int64
@@ -96,15 +100,16 @@
 type LogAppended struct {
 	Tag    uint64
 	Offset int64
-	// Failed: the log said no. Neither Failed nor an offset ≥ 0: not known.
+	// Failed is true if the log rejected the record. Without Failed, an Offset
+	// below 0 means that the outcome is unknown.
 	Failed bool
 }
 
-// LogDown says that a stream cannot be read; the next LogCaughtUp of the
+// LogDown reports that a stream cannot be read. The next LogCaughtUp of the
 // stream ends the outage.
 type LogDown struct{ Stream record.Stream }
 
-// InstanceList is the platform's list, which lags.
+// InstanceList is the platform's list of instances, which lags.
 type InstanceList struct {
 	Instances []Instance
 }
@@ -122,20 +127,21 @@
 // OrderDone answers an Order output.
 type OrderDone struct {
 	Target string
-	// Refused: the target holds a higher fencing number.
+	// Refused is true if the target holds a higher fencing number.
 	Refused bool
-	// Failed: not known whether it took effect.
+	// Failed is true if it is unknown whether the order took effect.
 	Failed bool
 }
 
-// Answering says how many answers have not left to their callers yet, as of
-// now. A drain waits for them; edges that finish them after Drained need not tell.
+// Answering reports the number of answers that have not been fully sent to
+// their callers. A drain waits for them. After Drained the edges need not
+// report it any more.
 type Answering struct{ Open int }
 
-// DrainStart is an operator's or SIGTERM's wish to stop.
+// DrainStart requests a planned stop, from an operator or by SIGTERM.
 type DrainStart struct{}
 
-// Tick lets time pass; delivered at least every 20 ms.
+// Tick advances the time. It is delivered at least every 20 ms.
 type Tick struct{}
 
 func (Submit) input()       {}
@@ -157,42 +163,43 @@
 func (DrainStart) input()   {}
 func (Tick) input()         {}
 
-// Dispatch sends the request to a target: the one point at which a request
-// may begin to run. It is put out at most once for an id, unless the former
-// attempt ended with ResultNotAdmitted or ResultLeaving.
+// Dispatch sends the request to a target. It is the only output after which a
+// request may start to run. It is emitted at most once per id, unless the
+// previous attempt ended with ResultNotAdmitted or ResultLeaving.
 type Dispatch struct {
 	ID      ident.RequestID
 	Target  string
 	Address string
 	Kind    request.Kind
-	// Deadline ends the run; past it the stream is cancelled.
+	// Deadline ends the run: the stream is cancelled then.
 	Deadline time.Time
-	// NotAfter voids the dispatch: a process that was paused between the core's
-	// decision and the first byte must answer RunEnded{ResultNotAdmitted}.
+	// NotAfter is when the dispatch expires. A process that was paused between
+	// the core's decision and the first byte must answer
+	// RunEnded{ResultNotAdmitted}.
 	NotAfter time.Time
 }
 
-// CancelRun cancels the run at its target and gives its caller Status.
+// CancelRun cancels the run at its target and gives Status to the caller.
 type CancelRun struct {
 	ID     ident.RequestID
 	Status outcome.Status
 }
 
-// Settle gives the caller its final status where no run's answer carries it.
+// Settle gives the caller the final status where no run's answer carries it.
 type Settle struct {
 	ID     ident.RequestID
 	Status outcome.Status
 }
 
-// Join attaches a caller's request ID to the flight Of at this entry: the same
-// id sent again, or another id with the same idempotency key.
+// Join attaches the caller of request ID to the flight Of at this entry: the
+// same id, resent, or another id with the same idempotency key.
 type Join struct {
 	ID ident.RequestID
 	Of ident.RequestID
 }
 
-// SeeOther sends the caller to the entry that holds the answer of Of, which may
-// still be coming (HTTP 303 to /v1/streams/{token} at Address).
+// SeeOther redirects the caller to the entry that holds the answer of Of, which
+// may still be arriving (HTTP 303 to /v1/streams/{token} at Address).
 type SeeOther struct {
 	ID      ident.RequestID
 	Of      ident.RequestID
@@ -200,7 +207,8 @@
 	Address string
 }
 
-// Attach follows the stream Of, which another entry dispatched, at its target.
+// Attach follows the stream of Of, which another entry dispatched, at its
+// target.
 type Attach struct {
 	ID      ident.RequestID
 	Of      ident.RequestID
@@ -208,30 +216,31 @@
 	Address string
 }
 
-// Send puts a message on the link to a peer; dropped if there is none.
+// Send sends a message over the link to a peer. It is dropped if there is no
+// link.
 type Send struct {
 	To      ident.Incarnation
 	Message message.Message
 }
 
-// Append writes a record to a stream; answered by LogAppended with the same Tag.
+// Append writes a record to a stream. LogAppended with the same Tag answers it.
 type Append struct {
 	Tag    uint64
 	Stream record.Stream
 	Data   []byte
 }
 
-// Follow begins to read a stream from records no older than Back, and goes on
-// with LogRecord and LogCaughtUp until Unfollow.
+// Follow starts reading a stream from records no older than Back. LogRecord and
+// LogCaughtUp follow until Unfollow.
 type Follow struct {
 	Stream record.Stream
 	Back   time.Duration
 }
 
-// Unfollow ends the reading of a stream.
+// Unfollow stops reading a stream.
 type Unfollow struct{ Stream record.Stream }
 
-// Order tells a target what to hold; answered by OrderDone.
+// Order instructs a target which model to hold. OrderDone answers it.
 type Order struct {
 	Target   string
 	Address  string
@@ -241,7 +250,7 @@
 	Adapters []string
 }
 
-// Drained says that nothing is in flight any more and the process may exit.
+// Drained reports that nothing is in flight and the process may exit.
 type Drained struct{}
 
 func (Dispatch) output()  {}
--- a/internal/core/entry/keys.go
+++ b/internal/core/entry/keys.go
@@ -11,67 +11,68 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// partitions of the idempotency keys; each has a stream on the log.
+// partitions is the number of partitions of the idempotency keys. Each has a
+// stream in the log.
 const partitions = 16
 
-// claimPatience is how many silence limits a claim may take before the request
-// is refused; the log answers in far less when it is up.
-const claimPatience = 2
+// claimWaitFactor is how many silence limits a claim may take before the
+// request is refused. The log answers much faster when it is available.
+const claimWaitFactor = 2
 
-// Bounds of a home of claims: the log takes several hundred appends a second
+// Bounds of a coordinator. The log handles several hundred appends a second
 // from all entries together, so claims share records.
 const (
-	claimBatchEvery = 10 * time.Millisecond
-	claimsPerRecord = 500
-	claimsHeld      = 500_000
-	claimTimeout    = 2 * time.Second
+	claimBatchInterval = 10 * time.Millisecond
+	maxClaimsPerRecord = 500
+	maxClaimedKeys     = 500_000
+	claimTimeout       = 2 * time.Second
 )
 
 func claimsConfig(horizon time.Duration) claims.Config {
 	return claims.Config{
 		Partitions: partitions, Horizon: horizon,
-		BatchEvery: claimBatchEvery, MaxBatch: claimsPerRecord,
-		MaxKeys: claimsHeld, AppendTimeout: claimTimeout,
+		BatchEvery: claimBatchInterval, MaxBatch: maxClaimsPerRecord,
+		MaxKeys: maxClaimedKeys, AppendTimeout: claimTimeout,
 	}
 }
 
-// claim asks the home of the key's partition for the right to run.
+// claim requests the right to run from the coordinator of the key's partition.
 func (e *Entry) claim(f *flight) {
 	f.stage = stageClaiming
-	f.giveUp = earlier(e.now.Add(claimPatience*e.timing.silence), f.req.Deadline)
-	e.askHome(f)
+	f.giveUpAt = earlier(e.now.Add(claimWaitFactor*e.timing.silence), f.req.Deadline)
+	e.sendClaim(f)
 }
 
-func (e *Entry) askHome(f *flight) {
-	f.asked = e.homeOf(f.req.Key)
-	e.wakeAt(f, earlier(e.now.Add(e.timing.grant), f.giveUp))
-	if f.asked == "" {
+func (e *Entry) sendClaim(f *flight) {
+	f.queried = e.coordinatorOf(f.req.Key)
+	e.wakeAt(f, earlier(e.now.Add(e.timing.grant), f.giveUpAt))
+	if f.queried == "" {
 		return
 	}
-	e.send(f.asked, message.ClaimAsk{Key: f.req.Key, ID: f.req.ID})
+	e.send(f.queried, message.ClaimAsk{Key: f.req.Key, ID: f.req.ID})
 }
 
-func (e *Entry) attendClaiming(f *flight) {
-	if !e.now.Before(f.giveUp) {
-		e.noVerdict(f, true)
+func (e *Entry) handleClaimTimer(f *flight) {
+	if !e.now.Before(f.giveUpAt) {
+		e.claimFailed(f, true)
 		return
 	}
-	e.askHome(f)
+	e.sendClaim(f)
 }
 
-// noVerdict refuses a keyed request of which the log did not decide. Its claim
-// may still land on the log later: the id is finished here for good, and the
-// release lets the key's next claim win. Unread: nobody could look whether an
-// earlier request of the key ran, and a caller that sends its key again would
-// take "not run" for the word on both.
-func (e *Entry) noVerdict(f *flight, unread bool) {
+// claimFailed refuses a request whose claim was not decided. The claim may
+// still reach the log later: the id is finished here, and the release lets the
+// key's next claim win. If unread is true, nothing could check whether an
+// earlier request of the key ran, and a caller that resends the key would apply
+// "not run" to both.
+func (e *Entry) claimFailed(f *flight, unread bool) {
 	f.keyRead = !unread
 	e.abandon(f, outcome.Refused(outcome.ReasonLogUnavailable, e.jitter(e.timing.silence), "the idempotency key could not be claimed"))
 }
 
-// releaseClaim gives up the claim of a request that did not and will not run.
+// releaseClaim releases the claim of a request that did not and will not run.
 func (e *Entry) releaseClaim(f *flight) {
-	if f.stage != stageAsking && f.stage != stageSeeking {
+	if f.stage != stageQuerying && f.stage != stageSearching {
 		e.releaseKey(&f.req)
 	}
 }
@@ -80,20 +81,20 @@
 	if !claimed(req) {
 		return
 	}
-	if home := e.homeOf(req.Key); home != "" {
-		e.send(home, message.ClaimRelease{Key: req.Key, ID: req.ID})
+	if coordinator := e.coordinatorOf(req.Key); coordinator != "" {
+		e.send(coordinator, message.ClaimRelease{Key: req.Key, ID: req.ID})
 	}
 }
 
-// claimTold acts on the home's verdict.
-func (e *Entry) claimTold(r message.ClaimReply) {
+// claimReplied handles the coordinator's decision on a claim.
+func (e *Entry) claimReplied(r message.ClaimReply) {
 	f := e.flights[r.ID]
 	if f == nil || f.stage != stageClaiming {
 		return
 	}
 	switch r.Winner {
 	case "":
-		e.noVerdict(f, r.Unread)
+		e.claimFailed(f, r.Unread)
 	case f.req.ID:
 		f.keyRead = true
 		f.stage = stageWaiting
@@ -103,7 +104,8 @@
 	}
 }
 
-// followWinner answers a request with the outcome of the one that holds its key.
+// followWinner settles a request with the outcome of the request that holds its
+// key.
 func (e *Entry) followWinner(f *flight, winner ident.RequestID) {
 	parts, err := ident.Parse(winner)
 	if err != nil {
@@ -112,41 +114,41 @@
 	}
 	f.keyRead = true
 	holder := parts.Owner
-	told := e.told(winner)
+	state := e.stateOf(winner)
 	switch {
-	case told.Standing == message.StandingElsewhere:
-		holder = told.Delegate
+	case state.Standing == message.StandingElsewhere:
+		holder = state.Delegate
 	case holder == e.cfg.Self.Incarnation || e.flights[winner] != nil:
-		e.joinWinner(f, winner, told)
+		e.joinWinner(f, winner, state)
 		return
 	}
-	f.stage = stageAsking
+	f.stage = stageQuerying
 	f.subject = winner
-	f.giveUp = e.now.Add(e.timing.silence)
-	e.asking[winner] = append(e.asking[winner], f.req.ID)
-	e.ask(f, holder)
+	f.giveUpAt = e.now.Add(e.timing.silence)
+	e.losersByWinner[winner] = append(e.losersByWinner[winner], f.req.ID)
+	e.sendOwnerQuery(f, holder)
 }
 
-func (e *Entry) joinWinner(f *flight, winner ident.RequestID, told message.OwnerReply) {
-	if told.Standing == message.StandingFinished && told.Status.Outcome != outcome.Answered {
-		e.finish(f, told.Status)
+func (e *Entry) joinWinner(f *flight, winner ident.RequestID, state message.OwnerReply) {
+	if state.Standing == message.StandingFinished && state.Status.Outcome != outcome.Answered {
+		e.finish(f, state.Status)
 		return
 	}
-	if told.Standing == message.StandingExpired {
+	if state.Standing == message.StandingExpired {
 		e.finish(f, outcome.Undetermined(outcome.ReasonIDExpired, "the first run of this key is no longer remembered"))
 		return
 	}
 	f.subject = winner
-	e.leaveForeign(f)
+	e.removeRemote(f)
 	e.emit(Join{ID: f.req.ID, Of: winner})
 }
 
-// homeOf finds the entry that batches the claims of a key's partition.
-func (e *Entry) homeOf(key request.KeyHash) ident.Incarnation {
-	return e.homes[claims.PartitionOf(key, partitions)]
+// coordinatorOf returns the entry that batches the claims of a key's partition.
+func (e *Entry) coordinatorOf(key request.KeyHash) ident.Incarnation {
+	return e.coordinators[claims.PartitionOf(key, partitions)]
 }
 
-// performClaims carries out what the claims' home decided.
+// performClaims carries out the effects of the claims component.
 func (e *Entry) performClaims(effects []claims.Effect) {
 	for _, effect := range effects {
 		switch c := effect.(type) {
--- a/internal/core/entry/late.go
+++ b/internal/core/entry/late.go
@@ -4,12 +4,13 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// refuseLate refuses a request that cannot be in time, and tells the cause: only
-// a want of places is a refusal for load. After a pause of this process, and
-// when the bounds were past at the arrival, an idle target would not help.
-func (e *Entry) refuseLate(f *flight, reason outcome.Reason) {
+// refusePastDeadline refuses a request that cannot meet its deadline, with the
+// cause as reason: only a lack of free slots counts as a refusal for load.
+// After a pause of this process, or if too little time was left on arrival, an
+// idle target would not help.
+func (e *Entry) refusePastDeadline(f *flight, reason outcome.Reason) {
 	switch {
-	case e.wokeAt.After(f.req.Arrived):
+	case e.resumedAt.After(f.req.Arrived):
 		reason = outcome.ReasonProcessPaused
 	case e.arrivedLate(f):
 		reason = outcome.ReasonArrivedLate
@@ -17,8 +18,9 @@
 	e.abandon(f, outcome.Refused(reason, e.jitter(retrySoon), detailOf(reason)))
 }
 
-// arrivedLate: less time was left at the arrival than the pool's fastest target
-// takes for a single token. No estimate counts here, since those rise with load.
+// arrivedLate reports whether the time left on arrival was less than the pool's
+// fastest target takes for one token. Estimates are not used because they rise
+// with load.
 func (e *Entry) arrivedLate(f *flight) bool {
 	step := e.fastest[f.req.Pool]
 	first := f.req.FirstTokenBy
--- a/internal/core/entry/lifecycle.go
+++ b/internal/core/entry/lifecycle.go
@@ -8,11 +8,11 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// drainConfig takes the times of a planned stop from the document in force.
+// drainConfig returns the times of a planned stop from the document in force.
 func (e *Entry) drainConfig() drain.Config {
 	cfg := drain.Config{Settle: e.timing.silence, AnswerTTL: startingPeriod, Bound: startingDrain}
 	if e.members != nil {
-		// Grows with the number of members.
+		// It grows with the number of members.
 		cfg.Settle = e.members.Silence()
 	}
 	if e.doc != nil {
@@ -22,17 +22,17 @@
 	return cfg
 }
 
-// settleState moves the entry through its stages of life.
-func (e *Entry) settleState() {
+// updateState updates the entry's life cycle state.
+func (e *Entry) updateState() {
 	next := e.nextState()
 	if next == e.state {
 		return
 	}
 	e.state = next
-	e.tellSelf()
-	e.takeChanges()
+	e.updateSelf()
+	e.applyMemberChanges()
 	e.rebalance()
-	e.changed = true
+	e.viewChanged = true
 	if next == message.Stopped {
 		e.emit(Drained{})
 	}
@@ -44,15 +44,15 @@
 		return message.Stopped
 	case stage != drain.Serving:
 		return message.Draining
-	case e.state == message.Starting && e.doc != nil && e.now.Sub(e.began) >= settleTime:
+	case e.state == message.Starting && e.doc != nil && e.now.Sub(e.startedAt) >= startupWait:
 		return message.Ready
 	}
 	return e.state
 }
 
 func (e *Entry) stillHeld() drain.Held {
-	held := drain.Held{InFlight: len(e.flights), Appends: len(e.pending), Answers: e.answering}
-	if !e.on(guardDrain) {
+	held := drain.Held{InFlight: len(e.flights), Appends: len(e.pending), Answers: e.openAnswers}
+	if !e.enabled(guardDrain) {
 		held.InFlight = 0
 	}
 	if e.state == message.Draining {
@@ -61,21 +61,21 @@
 	return held
 }
 
-// settleTime is how long a starting entry listens for peers before it is ready,
-// so that it does not schedule targets that others hold.
-const settleTime = 300 * time.Millisecond
+// startupWait is how long a starting entry listens for peers before it is
+// ready, so that it does not schedule targets that others hold.
+const startupWait = 300 * time.Millisecond
 
-// publish gives the edges a new view if anything in it changed.
+// publish sends the edges a new view if it has changed.
 func (e *Entry) publish() {
 	prefix, good := e.ids.Prefix(e.now)
 	if prefix != e.prefix {
 		e.prefix = prefix
-		e.changed = true
+		e.viewChanged = true
 	}
-	if !e.changed {
+	if !e.viewChanged {
 		return
 	}
-	e.changed = false
+	e.viewChanged = false
 	view := &View{
 		State: e.state, Version: e.version, Document: e.doc,
 		Entries: e.members.Entries(e.now, e.cfg.Self.Zone),
--- a/internal/core/entry/members.go
+++ b/internal/core/entry/members.go
@@ -8,28 +8,29 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// membershipEvery bounds how often the members are looked through.
-const membershipEvery = 20 * time.Millisecond
+// membersCheckInterval is the shortest time between checks of the members.
+const membersCheckInterval = 20 * time.Millisecond
 
 func (e *Entry) membershipConfig() membership.Config {
 	return membership.Config{Heartbeat: e.timing.heartbeat, Silence: e.timing.silence, Seed: e.cfg.Seed}
 }
 
-// beat sends the heartbeats that are due.
-func (e *Entry) beat() {
-	if !e.now.Before(e.digestsAt) {
-		e.digestsAt = e.now.Add(e.timing.heartbeat)
-		e.tellSelf()
+// sendHeartbeats sends the heartbeats that are due.
+func (e *Entry) sendHeartbeats() {
+	if !e.now.Before(e.nextDigests) {
+		e.nextDigests = e.now.Add(e.timing.heartbeat)
+		e.updateSelf()
 	}
 	for _, b := range e.members.Beats(e.now) {
 		e.send(b.Peer, b.Beat)
 	}
 }
 
-// tellSelf renews what heartbeats say of this entry, and what it routes by.
-func (e *Entry) tellSelf() {
-	digests := e.places.Digests(e.now)
-	e.learnDigests(e.cfg.Self.Incarnation, digests)
+// updateSelf updates the state that heartbeats announce and the digests of this
+// entry's own targets.
+func (e *Entry) updateSelf() {
+	digests := e.scheduler.Digests(e.now)
+	e.applyDigests(e.cfg.Self.Incarnation, digests)
 	e.members.SetSelf(e.now, membership.Self{
 		State: e.state, ConfigVersion: e.version, InFlight: len(e.flights), Digests: digests,
 	})
@@ -37,16 +38,16 @@
 
 func (e *Entry) heartbeat(from ident.Incarnation, h message.Heartbeat) {
 	e.members.Beat(e.now, from, h)
-	e.learnDigests(from, h.Digests)
-	if h.ConfigVersion > e.version || !e.on(guardVersion) && h.ConfigVersion != e.version {
-		// The log is slow here or out: the peer holds a newer document.
+	e.applyDigests(from, h.Digests)
+	if h.ConfigVersion > e.version || !e.enabled(guardVersion) && h.ConfigVersion != e.version {
+		// The log is slow or unavailable here: the peer holds a newer document.
 		e.send(from, message.DocumentAsk{})
 	}
 }
 
-// learnDigests takes the word of a target's present scheduler only: a former
-// one may still speak of targets that were taken from it.
-func (e *Entry) learnDigests(from ident.Incarnation, digests []message.Digest) {
+// applyDigests accepts digests only from a target's current scheduler. A
+// previous one may still report on targets that have been reassigned.
+func (e *Entry) applyDigests(from ident.Incarnation, digests []message.Digest) {
 	for _, d := range digests {
 		if e.schedulerOf(d.Target) == from {
 			e.router.Digest(e.now, d)
@@ -54,18 +55,18 @@
 	}
 }
 
-// lookAtMembers finds out what changed among the members. After a pause of this
-// process it finds that first, whatever the input is, so that no grant or
-// digest from before the pause is acted on.
-func (e *Entry) lookAtMembers() {
-	if e.now.Before(e.membersAt) {
+// checkMembers applies membership changes. It runs before any input is handled,
+// so that a pause of this process is detected before a grant or digest from
+// before the pause is used.
+func (e *Entry) checkMembers() {
+	if e.now.Before(e.nextMembersCheck) {
 		return
 	}
-	e.membersAt = e.now.Add(membershipEvery)
-	e.takeChanges()
+	e.nextMembersCheck = e.now.Add(membersCheckInterval)
+	e.applyMemberChanges()
 }
 
-func (e *Entry) takeChanges() {
+func (e *Entry) applyMemberChanges() {
 	changes := e.members.Tick(e.now)
 	if len(changes) == 0 {
 		return
@@ -74,24 +75,24 @@
 		e.memberChanged(c)
 	}
 	e.rebalance()
-	e.changed = true
+	e.viewChanged = true
 }
 
 func (e *Entry) memberChanged(c membership.Change) {
-	e.note(Decision{Event: EventMember, Detail: c.String()})
+	e.recordDecision(Decision{Event: EventMember, Detail: c.String()})
 	switch c.Kind {
 	case membership.Paused:
-		e.woke()
+		e.resumed()
 	case membership.MemberLost, membership.MemberReplaced, membership.MemberRemoved:
-		e.perform(e.places.PeerGone(e.now, c.Member.Incarnation), fromPlaces)
+		e.perform(e.scheduler.PeerGone(e.now, c.Member.Incarnation), fromScheduler)
 	}
 }
 
-// woke is called after this process stood still for longer than the silence
-// limit: others may have taken its targets, so it grants nothing until it has
-// heard its peers again and the owners have told it what they run there.
-func (e *Entry) woke() {
-	e.wokeAt = e.now
+// resumed handles a pause of this process longer than the silence limit. Others
+// may have taken over its targets, so it grants nothing until it has contact
+// with its peers again and the owners have reported their runs there.
+func (e *Entry) resumed() {
+	e.resumedAt = e.now
 	e.plan.SetMembers(nil)
-	e.perform(e.places.SetTargets(e.now, nil), fromPlaces)
+	e.perform(e.scheduler.SetTargets(e.now, nil), fromScheduler)
 }
--- a/internal/core/entry/node_test.go
+++ b/internal/core/entry/node_test.go
@@ -13,15 +13,16 @@
 
 // node is one entry process with small fakes of its edges.
 type node struct {
-	world  *world
-	place  int
-	self   message.Member
-	core   *Entry
-	view   *View
-	up     bool
-	paused bool
-	wokeAt time.Time
-	// closing: drained, and only finishing the answers that it gives.
+	world     *world
+	index     int
+	self      message.Member
+	core      *Entry
+	view      *View
+	up        bool
+	paused    bool
+	resumedAt time.Time
+	// closing is true after the drain, while the node only finishes its
+	// answers.
 	closing bool
 	backlog []func()
 	flights map[ident.RequestID]*edge
@@ -31,22 +32,22 @@
 // edge is a request at a node's edges.
 type edge struct {
 	waiters []*call
-	// open counts submissions that the core has not answered.
+	// open counts submissions that the core has not settled.
 	open   int
 	status *outcome.Status
-	run    *run
+	run    *targetRun
 }
 
 type reader struct {
 	stream record.Stream
 	next   int
-	// busy: a read is under way; records are delivered in order.
+	// busy is true during a read, so that records are delivered in order.
 	busy, ended bool
 }
 
 func (w *world) startNode(place int) {
 	inc := ident.NewIncarnation(w.random.Uint64(), int64(len(w.events)))
-	n := &node{world: w, place: place, self: memberOf(place, inc), up: true, flights: map[ident.RequestID]*edge{}, follows: map[record.Stream]*reader{}}
+	n := &node{world: w, index: place, self: memberOf(place, inc), up: true, flights: map[ident.RequestID]*edge{}, follows: map[record.Stream]*reader{}}
 	n.core = New(Config{Self: n.self, Seed: w.random.Uint64()}, w.now)
 	if w.hook != nil {
 		w.hook(n.core)
@@ -64,7 +65,7 @@
 }
 
 func (w *world) connect(at, peer *node) {
-	w.after(w.few(2*time.Millisecond), func() { at.input(PeerUp{Member: peer.self}) })
+	w.after(w.randomBelow(2*time.Millisecond), func() { at.input(PeerUp{Member: peer.self}) })
 }
 
 func (n *node) every(period time.Duration, do func()) {
@@ -78,7 +79,7 @@
 		}
 		n.world.after(period, again)
 	}
-	n.world.after(n.world.few(period), again)
+	n.world.after(n.world.randomBelow(period), again)
 }
 
 func (n *node) probe() {
@@ -87,12 +88,13 @@
 	}
 	for _, p := range n.view.Probes {
 		t := n.world.target(p.Name)
-		state := TargetState{Target: t.name, Reachable: t.up, Leaving: t.leaving && t.says, Running: len(t.runs)}
-		n.world.after(n.world.few(3*time.Millisecond), func() { n.input(state) })
+		state := TargetState{Target: t.name, Reachable: t.up, Leaving: t.leaving && t.declares, Running: len(t.runs)}
+		n.world.after(n.world.randomBelow(3*time.Millisecond), func() { n.input(state) })
 	}
 }
 
-// deliver makes something happen in the process: now, when it wakes, or never.
+// deliver runs do in the process: now, after it resumes if it is paused, or
+// never if it has ended.
 func (n *node) deliver(do func()) {
 	switch {
 	case !n.up:
@@ -106,7 +108,7 @@
 func (n *node) input(in Input) {
 	n.deliver(func() {
 		for _, out := range slices.Clone(n.core.Step(n.world.now, in)) {
-			n.carryOut(out)
+			n.execute(out)
 		}
 	})
 }
@@ -118,7 +120,7 @@
 	return n.flights[id]
 }
 
-func (n *node) carryOut(out Output) {
+func (n *node) execute(out Output) {
 	w := n.world
 	switch o := out.(type) {
 	case Dispatch:
@@ -147,7 +149,7 @@
 		w.after(time.Millisecond, func() { n.input(OrderDone{Target: o.Target}) })
 	case Publish:
 		if n.view != nil && o.View.Version < n.view.Version {
-			w.breaks("version falls", "%s from %d to %d", n.self.Name, n.view.Version, o.View.Version)
+			w.violate("version falls", "%s from %d to %d", n.self.Name, n.view.Version, o.View.Version)
 		}
 		n.view = o.View
 	case Drained:
@@ -155,16 +157,16 @@
 	}
 }
 
-// settle gives the final word on an id. A second one for the same submission
-// would tell a caller two things.
+// settle settles an id. A second final outcome for the same submission is a
+// violation.
 func (n *node) settle(id ident.RequestID, status outcome.Status) {
 	e := n.edge(id)
 	parts, _ := ident.Parse(id)
 	if e.open == 0 && e.status != nil && e.status.Outcome == outcome.Answered && parts.Owner != n.self.Incarnation {
-		return // the answer that was followed for another caller came first
+		return // the answer followed for another caller arrived first
 	}
 	if e.open == 0 {
-		n.world.breaks("final word", "%s got a second one at %s", id, n.self.Name)
+		n.world.violate("final outcome", "%s got a second one at %s", id, n.self.Name)
 	}
 	e.open = 0
 	e.end(status)
@@ -219,24 +221,25 @@
 func (n *node) cancel(o CancelRun) {
 	e := n.edge(o.ID)
 	if e.run != nil && !e.run.call.seen.Idempotent && o.Status.Reason == outcome.ReasonPreempted {
-		n.world.breaks("never preempt what may not be repeated", "%s", o.ID)
+		n.world.violate("never preempt a non-repeatable run", "%s", o.ID)
 	}
 	e.open = 0
 	e.end(o.Status)
 	if e.run != nil {
 		r := e.run
-		n.world.after(n.world.few(3*time.Millisecond), func() { r.target.end(r, message.ResultCancelled) })
+		n.world.after(n.world.randomBelow(3*time.Millisecond), func() { r.target.end(r, message.ResultCancelled) })
 	}
 }
 
-// send passes a message on, late or never, as the links are now.
+// send delivers a message to a peer, with the current delays and losses of the
+// links.
 func (n *node) send(o Send) {
 	w := n.world
 	for _, peer := range w.nodes {
-		if peer.self.Incarnation != o.To || w.cuts[[2]int{n.place, peer.place}] || w.random.IntN(100) < w.faults.drop {
+		if peer.self.Incarnation != o.To || w.blockedLinks[[2]int{n.index, peer.index}] || w.random.IntN(100) < w.faults.drop {
 			continue
 		}
-		wait := w.few(3*time.Millisecond + time.Duration(w.faults.delay)*time.Millisecond)
+		wait := w.randomBelow(3*time.Millisecond + time.Duration(w.faults.delay)*time.Millisecond)
 		m := detached(o.Message)
 		w.after(wait, func() { peer.input(FromPeer{From: n.self.Incarnation, Message: m}) })
 	}
@@ -258,7 +261,7 @@
 	w := n.world
 	slow := time.Duration(w.faults.logSlow) * 200 * time.Millisecond
 	data := slices.Clone(o.Data)
-	w.after(w.few(8*time.Millisecond)+slow, func() {
+	w.after(w.randomBelow(8*time.Millisecond)+slow, func() {
 		done := LogAppended{Tag: o.Tag, Offset: -1}
 		switch {
 		case w.faults.logDown > 0:
@@ -268,7 +271,7 @@
 		default:
 			done.Offset = w.write(o.Stream, data)
 		}
-		w.after(w.few(8*time.Millisecond), func() { n.input(done) })
+		w.after(w.randomBelow(8*time.Millisecond), func() { n.input(done) })
 	})
 }
 
@@ -302,24 +305,24 @@
 		return
 	}
 	since := w.now
-	news := w.log[f.stream][min(f.next, len(w.log[f.stream])):]
+	unread := w.log[f.stream][min(f.next, len(w.log[f.stream])):]
 	first := f.next
-	f.next += len(news)
+	f.next += len(unread)
 	f.busy = true
 	w.after(time.Duration(w.faults.logSlow)*200*time.Millisecond+time.Millisecond, func() {
 		f.busy = false
-		for i, r := range news {
+		for i, r := range unread {
 			if !f.ended {
 				n.input(LogRecord{Stream: f.stream, Offset: int64(first + i + 1), Age: w.now.Sub(r.at), Data: r.data})
 			}
 		}
 		if !f.ended {
-			n.input(LogCaughtUp{Stream: f.stream, Offset: int64(first + len(news) + 1), Since: since})
+			n.input(LogCaughtUp{Stream: f.stream, Offset: int64(first + len(unread) + 1), Since: since})
 		}
 	})
 }
 
-// kill ends the process; callers and peers notice by their connections.
+// kill ends the process. Callers and peers detect it by their connections.
 func (n *node) kill() {
 	w := n.world
 	n.up, n.paused, n.backlog = false, false, nil
@@ -330,32 +333,32 @@
 	}
 	for _, c := range w.calls {
 		if c.at == n && !c.seen.Settled {
-			w.after(w.few(3*time.Millisecond), c.elsewhere)
+			w.after(w.randomBelow(3*time.Millisecond), c.sendToNextEntry)
 		}
 	}
 	for _, peer := range w.nodes {
 		if peer != n {
-			w.after(w.few(3*time.Millisecond), func() { peer.input(PeerDown{Incarnation: n.self.Incarnation, Refused: true}) })
+			w.after(w.randomBelow(3*time.Millisecond), func() { peer.input(PeerDown{Incarnation: n.self.Incarnation, Refused: true}) })
 		}
 	}
 	w.noteList()
 }
 
-func (n *node) wake() {
+func (n *node) resume() {
 	backlog := n.backlog
-	n.paused, n.backlog, n.wokeAt = false, nil, n.world.now
-	n.world.lastWake = n.world.now
+	n.paused, n.backlog, n.resumedAt = false, nil, n.world.now
+	n.world.lastResume = n.world.now
 	for _, do := range backlog {
 		n.deliver(do)
 	}
 }
 
-// drained: the process says that it may exit once its answers have left. The
-// core must not owe anyone a decision.
+// drained handles Drained: the process exits once its answers have been sent.
+// No decision of the core may be pending.
 func (n *node) drained() {
 	for id, e := range n.flights {
 		if e.open > 0 || e.run != nil && e.run.owner == n && !e.run.ended {
-			n.world.breaks("drain", "%s exits while %s is under way", n.self.Name, id)
+			n.world.violate("drain", "%s exits while %s is in progress", n.self.Name, id)
 		}
 	}
 	n.closing = true
--- a/internal/core/entry/orphans.go
+++ b/internal/core/entry/orphans.go
@@ -8,54 +8,55 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// seek looks for the run of an id whose owner is gone. An engine goes on with a
-// stream whose entry died, and the scheduler of its target still counts the run,
-// so the caller may get the whole answer although it never got a stream token.
-// A plain service's answer died with its owner. If nothing is found the caller
-// is told the doubt.
-func (e *Entry) seek(f *flight, doubt outcome.Status) {
+// searchRun searches for the run of an id whose owner has departed or does not
+// answer. An engine continues a stream whose entry has crashed, and the
+// scheduler of its target still counts the run, so the caller can get the
+// complete answer without a stream token. The answer of a plain service is lost
+// with its owner. If no run is found, the caller gets the fallback status.
+func (e *Entry) searchRun(f *flight, fallback outcome.Status) {
 	if f.req.Kind != request.Engine || e.index == nil {
-		e.settleForeign(f, doubt)
+		e.settleRemote(f, fallback)
 		return
 	}
-	if target, found := e.orphanAt(f.subject, owner.Tag(f.req.Organisation)); found {
+	if target, found := e.orphanRun(f.subject, owner.Tag(f.req.Organisation)); found {
 		e.followRun(f, e.cfg.Self.Incarnation, target)
 		return
 	}
-	f.stage = stageSeeking
-	f.doubt = doubt
-	e.asks++
-	e.broadcast(message.OwnerAsk{Seq: e.asks, ID: f.subject, Known: true, Orphan: true, Tag: owner.Tag(f.req.Organisation)})
+	f.stage = stageSearching
+	f.fallbackStatus = fallback
+	e.requestSeq++
+	e.broadcast(message.OwnerAsk{Seq: e.requestSeq, ID: f.subject, Known: true, Orphan: true, Tag: owner.Tag(f.req.Organisation)})
 	e.wakeAt(f, e.now.Add(e.timing.grant))
 }
 
-// ownerGone is the word on an id whose owner is gone. Whether it dispatched is
-// not known, and saying "not run" could turn one release into two charges.
-func (e *Entry) ownerGone() outcome.Status {
+// ownerDeparted returns the status of an id whose owner has departed. Whether
+// the owner dispatched it is unknown, and reporting "not run" could turn one
+// release into two charges.
+func (e *Entry) ownerDeparted() outcome.Status {
 	status := outcome.Undetermined(outcome.ReasonOwnerReplaced, "the entry that owns the id is gone")
-	if !e.on(guardOwnerGone) {
+	if !e.enabled(guardOwnerGone) {
 		status.Outcome = outcome.NotRun
 	}
 	return status
 }
 
-// orphanAsked answers only if the run is at a target that is scheduled here.
-func (e *Entry) orphanAsked(from ident.Incarnation, q message.OwnerAsk) {
-	if target, found := e.orphanAt(q.ID, q.Tag); found {
+// orphanQueried replies only if the run is at a target that is scheduled here.
+func (e *Entry) orphanQueried(from ident.Incarnation, q message.OwnerAsk) {
+	if target, found := e.orphanRun(q.ID, q.Tag); found {
 		e.send(from, message.OwnerReply{Seq: q.Seq, ID: q.ID, Standing: message.StandingRunning, Target: target})
 	}
 }
 
-// orphanAt finds a run at a target that is scheduled here, for the organisation
-// that sent it only.
-func (e *Entry) orphanAt(id ident.RequestID, tag uint32) (string, bool) {
-	target, organisation, found := e.places.RunOf(id)
+// orphanRun finds a run at a target that is scheduled here. It finds runs of
+// the organisation with the given tag only.
+func (e *Entry) orphanRun(id ident.RequestID, tag uint32) (string, bool) {
+	target, organisation, found := e.scheduler.RunOf(id)
 	return target, found && owner.Tag(organisation) == tag
 }
 
-// orphanFound attaches the callers that wait for word on the run.
+// orphanFound attaches the callers that wait for the run.
 func (e *Entry) orphanFound(from ident.Incarnation, r message.OwnerReply) {
-	for _, f := range e.waitingFor(r.ID, stageSeeking) {
+	for _, f := range e.waitingFor(r.ID, stageSearching) {
 		e.followRun(f, from, r.Target)
 	}
 }
--- a/internal/core/entry/outside_test.go
+++ b/internal/core/entry/outside_test.go
@@ -12,28 +12,31 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// target is a fake back end, which keeps the ledger that promises are held to.
+// target is a fake back end with a ledger, against which the promises are
+// checked.
 type target struct {
 	world      *world
 	name, pool string
 	up         bool
-	// leaving since when; says: its own readiness answer tells, and it turns
-	// requests away. Otherwise only the list does.
-	leaving, says bool
-	// leftAt is when its word, or the list's, could first be read.
-	leftAt time.Time
-	runs   map[ident.RequestID]*run
-	ledger []*report.Run
+	// leaving is true once the target leaves. declares is true if its readiness
+	// answer reports that and it refuses requests; otherwise only the list
+	// shows it.
+	leaving, declares bool
+	// leavingSince is when its readiness answer or the list first showed that
+	// it leaves.
+	leavingSince time.Time
+	runs         map[ident.RequestID]*targetRun
+	ledger       []*report.Run
 }
 
-type run struct {
-	target    *target
-	owner     *node
-	call      *call
-	entered   *report.Run
-	ended     bool
-	complete  bool
-	followers []*edge
+type targetRun struct {
+	target      *target
+	owner       *node
+	call        *call
+	ledgerEntry *report.Run
+	ended       bool
+	complete    bool
+	followers   []*edge
 }
 
 func (w *world) target(name string) *target {
@@ -41,50 +44,50 @@
 	return w.targets[at]
 }
 
-// dispatched carries a Dispatch to the target.
+// dispatched sends a Dispatch to the target.
 func (t *target) dispatched(n *node, o Dispatch) {
 	w := t.world
 	at := slices.IndexFunc(w.calls, func(c *call) bool { return c.id == o.ID })
-	r := &run{target: t, owner: n, call: w.calls[at]}
+	r := &targetRun{target: t, owner: n, call: w.calls[at]}
 	n.edge(o.ID).run = r
-	w.after(w.few(3*time.Millisecond), func() { n.deliver(func() { t.arrives(n, o, r) }) })
+	w.after(w.randomBelow(3*time.Millisecond), func() { n.deliver(func() { t.arrive(n, o, r) }) })
 }
 
-func (t *target) arrives(n *node, o Dispatch, r *run) {
+func (t *target) arrive(n *node, o Dispatch, r *targetRun) {
 	w := t.world
 	result := message.ResultNotAdmitted
-	if t.leaving && t.says {
+	if t.leaving && t.declares {
 		result = message.ResultLeaving
 	}
-	if !t.up || t.leaving && t.says || w.now.After(o.NotAfter) {
+	if !t.up || t.leaving && t.declares || w.now.After(o.NotAfter) {
 		r.ended = true
 		w.after(time.Millisecond, func() { n.input(RunEnded{ID: o.ID, Result: result}) })
 		return
 	}
-	if t.leaving && w.now.Sub(later(t.leftAt, w.lastWake)) > leavingFor {
-		w.breaks("leaving", "%s got %s, and began to leave at %s", t.name, o.ID, t.leftAt.Sub(w.start))
+	if t.leaving && w.now.Sub(later(t.leavingSince, w.lastResume)) > leavingBound {
+		w.violate("leaving", "%s got %s, and started to leave at %s", t.name, o.ID, t.leavingSince.Sub(w.start))
 	}
-	r.entered = &report.Run{Target: t.name, Pool: t.pool, ID: string(o.ID), Key: r.call.seen.Key, Began: w.since()}
-	t.ledger = append(t.ledger, r.entered)
+	r.ledgerEntry = &report.Run{Target: t.name, Pool: t.pool, ID: string(o.ID), Key: r.call.seen.Key, Began: w.since()}
+	t.ledger = append(t.ledger, r.ledgerEntry)
 	t.runs[o.ID] = r
 	w.after(2*time.Millisecond, func() { n.input(RunStarted{ID: o.ID}) })
 	w.after(20*time.Millisecond, func() { n.input(RunProgress{ID: o.ID, Tokens: 1}) })
-	if r.call.poison {
+	if r.call.crashing {
 		w.after(30*time.Millisecond, func() { t.crash(300 * time.Millisecond) })
 	}
 	w.after(r.call.length, func() { t.end(r, message.ResultComplete) })
 	w.after(o.Deadline.Sub(w.now), func() { t.end(r, message.ResultCancelled) })
 }
 
-// end closes a run and tells its owner and those that follow it. A service
+// end ends a run and notifies its owner and its followers. A run of a service
 // cannot be cancelled.
-func (t *target) end(r *run, result message.Result) {
+func (t *target) end(r *targetRun, result message.Result) {
 	w := t.world
-	if r.ended || r.entered == nil || result == message.ResultCancelled && t.pool == "desk" {
+	if r.ended || r.ledgerEntry == nil || result == message.ResultCancelled && t.pool == "desk" {
 		return
 	}
 	r.ended, r.complete = true, result == message.ResultComplete
-	r.entered.Ended, r.entered.Complete = w.since(), r.complete
+	r.ledgerEntry.Ended, r.ledgerEntry.Complete = w.since(), r.complete
 	if r.complete {
 		for _, e := range r.followers {
 			e.end(outcome.Complete())
@@ -98,7 +101,7 @@
 	if n == nil {
 		return
 	}
-	w.after(w.few(3*time.Millisecond), func() {
+	w.after(w.randomBelow(3*time.Millisecond), func() {
 		n.deliver(func() {
 			if r.complete && r.owner != nil {
 				e := n.edge(id)
@@ -110,8 +113,8 @@
 	})
 }
 
-// sample is what the run showed: engines make a token each 10 ms.
-func (r *run) sample() message.Sample {
+// sample returns the measurements of the run. Engines make a token every 10 ms.
+func (r *targetRun) sample() message.Sample {
 	if r.target.pool == "desk" {
 		return message.Sample{FirstToken: r.call.length}
 	}
@@ -139,12 +142,12 @@
 	for _, r := range t.inOrder() {
 		t.end(r, message.ResultBroken)
 	}
-	t.runs = map[ident.RequestID]*run{}
+	t.runs = map[ident.RequestID]*targetRun{}
 	t.world.after(outage, func() { t.up = true })
 }
 
-func (t *target) inOrder() []*run {
-	var list []*run
+func (t *target) inOrder() []*targetRun {
+	var list []*targetRun
 	for _, entered := range t.ledger {
 		if r := t.runs[ident.RequestID(entered.ID)]; r != nil && !r.ended {
 			list = append(list, r)
@@ -153,18 +156,18 @@
 	return list
 }
 
-// call is one caller's request, sent again until it has a final word.
+// call is one caller's request, which is resent until it has a final status.
 type call struct {
-	world  *world
-	id     ident.RequestID
-	length time.Duration
-	poison bool
-	turn   int
-	at     *node
-	seen   report.Call
+	world      *world
+	id         ident.RequestID
+	length     time.Duration
+	crashing   bool
+	entryIndex int
+	at         *node
+	seen       report.Call
 }
 
-// What engines need for a request, as the document's class says.
+// The cost of a request at an engine, as declared in the document's class.
 const (
 	promptTokens = 40
 	stepTime     = 10 * time.Millisecond
@@ -172,12 +175,12 @@
 
 func (c *call) tokens() int { return int(c.length / stepTime) }
 
-// newCall forms the id with the prefix of an entry, as callers do. Without a
-// view there the caller uses the next entry's.
+// newCall forms the id with the prefix of an entry, as callers do. If that
+// entry has no view, it uses the next entry's prefix.
 func (w *world) newCall(s step) *call {
-	c := &call{world: w, length: time.Duration(20+s.c*60) * time.Millisecond, poison: s.kind == poisonCall, turn: s.b}
-	if c.poison {
-		c.length = 200 * time.Millisecond // it never comes to its end
+	c := &call{world: w, length: time.Duration(20+s.c*60) * time.Millisecond, crashing: s.kind == crashingCall, entryIndex: s.b}
+	if c.crashing {
+		c.length = 200 * time.Millisecond // the target crashes first
 	}
 	tier := s.c % 3
 	c.seen = report.Call{
@@ -201,10 +204,10 @@
 	return c
 }
 
-// again sends the same id once more, as another caller that waits.
-func (w *world) again(of *call, place int) {
+// resend sends the same id from another caller, which waits as well.
+func (w *world) resend(of *call, place int) {
 	c := *of
-	c.turn = place
+	c.entryIndex = place
 	c.seen = report.Call{
 		Line: len(w.calls), ID: of.seen.ID, Key: of.seen.Key, Organisation: of.seen.Organisation, Tier: of.seen.Tier,
 		Pool: of.seen.Pool, Kind: of.seen.Kind, Idempotent: of.seen.Idempotent, Sent: w.since(), Deadline: of.seen.Deadline,
@@ -213,32 +216,33 @@
 	c.send()
 }
 
-func (c *call) elsewhere() {
+func (c *call) sendToNextEntry() {
 	if !c.seen.Settled {
-		c.turn++
+		c.entryIndex++
 		c.send()
 	}
 }
 
-// send asks the entry whose turn it is, and another when it does not answer.
+// send sends the request to the entry whose turn it is, and to another if that
+// one does not answer.
 func (c *call) send() {
 	w := c.world
-	n := w.nodes[c.turn%entries]
+	n := w.nodes[c.entryIndex%entries]
 	c.at = n
-	turn, sent := c.turn, w.now
-	w.after(c.seen.Deadline+patience, func() {
-		if c.turn == turn && !c.seen.Settled {
-			if c.at == n && n.up && !n.paused && n.wokeAt.Before(sent) {
-				w.breaks("final word", "%s said nothing of %s", n.self.Name, c.id)
+	turn, sent := c.entryIndex, w.now
+	w.after(c.seen.Deadline+callerWait, func() {
+		if c.entryIndex == turn && !c.seen.Settled {
+			if c.at == n && n.up && !n.paused && n.resumedAt.Before(sent) {
+				w.violate("final outcome", "%s did not settle %s", n.self.Name, c.id)
 			}
 			c.leave()
-			c.elsewhere()
+			c.sendToNextEntry()
 		}
 	})
 	if !n.up || n.closing || n.view == nil || n.view.State == message.Starting {
 		w.after(20*time.Millisecond, func() {
-			if c.turn == turn {
-				c.elsewhere()
+			if c.entryIndex == turn {
+				c.sendToNextEntry()
 			}
 		})
 		return
@@ -249,11 +253,11 @@
 			return
 		}
 		if w.random.IntN(2) == 0 {
-			arrived = w.now // it waited in the kernel, not in the process
+			arrived = w.now // it was queued in the kernel, not in the process
 		}
 		e := n.edge(c.id)
 		if e.open == 0 && e.status != nil && e.status.Outcome != outcome.Answered {
-			e.status = nil // the core says anew what is known
+			e.status = nil // the core settles the resent id again
 		}
 		e.open++
 		e.waiters = append(e.waiters, c)
@@ -267,7 +271,7 @@
 		PromptTokens: promptTokens, MaxTokens: c.tokens(), Idempotent: c.seen.Idempotent, Arrived: arrived, Deadline: arrived.Add(c.seen.Deadline),
 		Fingerprint: request.Fingerprint(len(c.id)) + request.Fingerprint(c.seen.Line),
 	}
-	if c.poison {
+	if c.crashing {
 		r.Fingerprint = 1
 	}
 	if c.seen.Kind == request.Service {
--- a/internal/core/entry/peers.go
+++ b/internal/core/entry/peers.go
@@ -6,33 +6,33 @@
 	"sycamoretrail/internal/core/scheduler"
 )
 
-// source tells which of the entry's two schedulers decided something: places
-// are the targets that it schedules for all, share is its own part of targets
-// whose scheduler is silent.
+// source identifies which of the entry's two schedulers made a decision:
+// fromScheduler for the targets that this entry schedules for all entries,
+// fromShare for its own share of targets whose scheduler is unresponsive.
 type source bool
 
 const (
-	fromPlaces source = false
-	fromShare  source = true
+	fromScheduler source = false
+	fromShare     source = true
 )
 
-// delivery is a message of the entry to itself.
+// delivery is a message from the entry to itself.
 type delivery struct {
 	message message.Message
 	source  source
 }
 
-// send puts a message out, or keeps it for delivery at the end of this step if
-// the entry is its own addressee.
+// send emits a message, or queues it for delivery at the end of this step if it
+// is addressed to this entry.
 func (e *Entry) send(to ident.Incarnation, m message.Message) {
 	if to == e.cfg.Self.Incarnation {
-		e.inbox = append(e.inbox, delivery{message: m, source: fromPlaces})
+		e.inbox = append(e.inbox, delivery{message: m, source: fromScheduler})
 		return
 	}
 	e.emit(Send{To: to, Message: m})
 }
 
-// perform carries out what a scheduler decided.
+// perform carries out the effects of a scheduler.
 func (e *Entry) perform(effects []scheduler.Effect, src source) {
 	for _, effect := range effects {
 		if effect.To == e.cfg.Self.Incarnation {
@@ -43,7 +43,7 @@
 	}
 }
 
-// drainInbox delivers what the entry said to itself in this step.
+// drainInbox delivers the messages that the entry sent to itself in this step.
 func (e *Entry) drainInbox() {
 	for len(e.inbox) > 0 {
 		next := e.inbox[0]
@@ -53,7 +53,7 @@
 	e.inbox = e.inboxStore[:0]
 }
 
-// deliver hands a message to the duty that it concerns.
+// deliver passes a message to the component that handles it.
 func (e *Entry) deliver(from ident.Incarnation, m message.Message, src source) {
 	switch m := m.(type) {
 	case message.Heartbeat:
@@ -61,7 +61,7 @@
 	case message.Offer:
 		e.offered(from, m)
 	case message.Withdraw:
-		e.perform(e.places.Withdraw(e.now, from, m), fromPlaces)
+		e.perform(e.scheduler.Withdraw(e.now, from, m), fromScheduler)
 	case message.Grant:
 		e.granted(from, m, src == fromShare)
 	case message.Queued:
@@ -69,62 +69,62 @@
 	case message.Refuse:
 		e.refused(from, m, src == fromShare)
 	case message.Preempt:
-		e.preemptAsked(m)
+		e.preemptRequested(m)
 	case message.Done:
 		e.done(from, m)
 	case message.Running:
-		e.perform(e.places.Running(e.now, from, m), fromPlaces)
+		e.perform(e.scheduler.Running(e.now, from, m), fromScheduler)
 	case message.FloorAsk:
-		e.floorAsked(from, m)
+		e.floorRequested(from, m)
 	case message.FloorReply:
-		e.perform(e.places.FloorReply(e.now, from, m), fromPlaces)
+		e.perform(e.scheduler.FloorReply(e.now, from, m), fromScheduler)
 	case message.OwnerAsk:
-		e.ownerAsked(from, m)
+		e.ownerQueried(from, m)
 	case message.OwnerReply:
-		e.ownerTold(from, m)
+		e.ownerReplied(from, m)
 	case message.ClaimAsk:
 		e.performClaims(e.claims.Ask(e.now, from, m.Key, m.ID))
 	case message.ClaimReply:
-		e.claimTold(m)
+		e.claimReplied(m)
 	case message.ClaimRelease:
 		e.performClaims(e.claims.Release(e.now, m.Key, m.ID))
 	case message.Suspicion:
 		e.performSuspects(e.suspects.Merge(e.now, m))
 	case message.DocumentAsk:
-		e.documentAsked(from)
+		e.documentRequested(from)
 	case message.DocumentReply:
-		e.documentTold(m)
+		e.documentReceived(m)
 	}
 }
 
-// offered takes an offer if the target is scheduled here; otherwise the owner's
-// view of the members differs from ours, and it is told to look again.
+// offered accepts an offer if the target is scheduled here. Otherwise the owner
+// has a different view of the members, and the refusal makes it offer again.
 func (e *Entry) offered(from ident.Incarnation, o message.Offer) {
 	if e.schedulerOf(o.Target) != e.cfg.Self.Incarnation {
 		e.send(from, message.Refuse{ID: o.ID, Target: o.Target, Elsewhere: o.Target})
 		return
 	}
-	e.perform(e.places.Offer(e.now, from, o), fromPlaces)
+	e.perform(e.scheduler.Offer(e.now, from, o), fromScheduler)
 }
 
-// floorAsked makes both schedulers keep the floor: work that this entry lets in
-// by its own share of a silent scheduler's target counts as much as any other.
-// The answer is that of the targets scheduled here.
-func (e *Entry) floorAsked(from ident.Incarnation, a message.FloorAsk) {
-	e.note(Decision{ID: a.Need.ID, Event: EventFloor, Tier: a.Tier, Detail: a.Pool})
-	for _, effect := range e.share.FloorAsk(e.now, from, a) {
+// floorRequested applies the floor to both schedulers: work that this entry
+// admits by its own share of another scheduler's target counts like any other.
+// Only the reply for the targets scheduled here is sent.
+func (e *Entry) floorRequested(from ident.Incarnation, a message.FloorAsk) {
+	e.recordDecision(Decision{ID: a.Need.ID, Event: EventFloor, Tier: a.Tier, Detail: a.Pool})
+	for _, effect := range e.shareScheduler.FloorAsk(e.now, from, a) {
 		if _, answer := effect.Message.(message.FloorReply); answer {
 			continue
 		}
 		e.perform([]scheduler.Effect{effect}, fromShare)
 	}
-	e.perform(e.places.FloorAsk(e.now, from, a), fromPlaces)
+	e.perform(e.scheduler.FloorAsk(e.now, from, a), fromScheduler)
 }
 
-// done frees a place and feeds the watch for targets that died.
+// done frees a slot and records runs that broke off for crash detection.
 func (e *Entry) done(from ident.Incarnation, d message.Done) {
 	if d.Result == message.ResultBroken && e.schedulerOf(d.Target) == e.cfg.Self.Incarnation {
-		e.brokenAt(d)
+		e.recordCrash(d)
 	}
-	e.perform(e.places.Done(e.now, from, d), fromPlaces)
+	e.perform(e.scheduler.Done(e.now, from, d), fromScheduler)
 }
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// triesBeforeFinal is how many targets may turn an offer down before the
-	// next is asked for the last word of the whole pool.
+	// triesBeforeFinal is how many targets may refuse an offer before the next
+	// offer is final, that is, its refusal is decided for the whole pool.
 	triesBeforeFinal = 2
-	// replaceWait is the pause before an offer is placed again after the
-	// target's scheduler changed or no target was to be had.
-	replaceWait = 50 * time.Millisecond
-	// grantMargin is kept between a grant's end and the dispatch.
+	// placementRetryWait is the pause before an offer is placed again after the
+	// target's scheduler changed or no target was available.
+	placementRetryWait = 50 * time.Millisecond
+	// grantMargin shortens the validity of a grant, so that the dispatch starts
+	// before the grant ends.
 	grantMargin = 5 * time.Millisecond
 )
 
-// place chooses a target for a flight and offers it there.
+// place chooses a target for a flight and offers the flight to its scheduler.
 func (e *Entry) place(f *flight) {
 	if !e.now.Before(f.req.Deadline) {
-		e.refuseLate(f, outcome.ReasonDeadlinePassed)
+		e.refusePastDeadline(f, outcome.ReasonDeadlinePassed)
 		return
 	}
-	if e.waitsForTouch(f) {
+	if e.waitsForQuorum(f) {
 		f.stage = stageWaiting
-		e.wakeAt(f, e.now.Add(replaceWait))
+		e.wakeAt(f, e.now.Add(placementRetryWait))
 		return
 	}
-	if len(f.tried) >= triesBeforeFinal && e.patient(f) {
-		e.rest(f)
+	if len(f.tried) >= triesBeforeFinal && e.mayWait(f) {
+		e.pauseOffers(f)
 		return
 	}
 	target, status := e.choose(f)
@@ -44,31 +45,32 @@
 	e.offerAt(f, target)
 }
 
-// waitsForTouch holds a request back for a moment while this entry is out of
-// touch with most members: after a pause or a short cut the next heartbeats end
-// that. Until then every scheduler that it can see would refuse work below the
-// top tier, and an entry that sees only itself would offer to itself, where a
-// takeover must first wait for reports.
-func (e *Entry) waitsForTouch(f *flight) bool {
+// waitsForQuorum reports whether to hold a request back briefly because this
+// entry has no contact with most members. After a pause or a short network
+// partition the next heartbeats restore contact. Until then every scheduler
+// that it can reach would refuse work below the top tier, and an entry that
+// sees only itself would offer to itself, where a takeover must first wait for
+// reports.
+func (e *Entry) waitsForQuorum(f *flight) bool {
 	if e.quorum || e.cfg.Policy != PolicyScheduler || f.req.Tier == 0 && len(e.members.Live()) > 1 {
 		return false
 	}
-	return e.now.Sub(e.quorumLost) < e.timing.silence && e.poolMayRecover(f)
+	return e.now.Sub(e.quorumLostAt) < e.timing.silence && e.poolMayRecover(f)
 }
 
-// noTarget handles a pool of which no target can be chosen: once all were
-// tried, the best of them is asked for the last word.
+// noTarget handles a pool in which no target can be chosen. Once all targets
+// were tried, the best of them gets a final offer.
 func (e *Entry) noTarget(f *flight, status routing.Status) {
 	if len(f.tried) > 0 {
-		askedAll := f.final
+		alreadyFinal := f.final
 		f.tried = f.tried[:0]
 		f.final = true
-		if askedAll {
-			// Every target has turned the last word down as well. Where this entry
-			// schedules them all itself, asking again at once would go round for
-			// ever within one step.
+		if alreadyFinal {
+			// Every target has refused the final offer as well. Where this
+			// entry schedules all of them itself, offering again at once would
+			// loop forever within one step.
 			f.stage = stageWaiting
-			e.wakeAt(f, e.now.Add(replaceWait))
+			e.wakeAt(f, e.now.Add(placementRetryWait))
 			return
 		}
 		var target string
@@ -79,19 +81,20 @@
 	}
 	switch {
 	case status == routing.NoneInTime:
-		// Waiting makes it only later, and no other tier's place makes a target
-		// faster, so the caller is told at once.
-		e.refuseLate(f, outcome.ReasonDeadline)
+		// Waiting only makes it later, and preempting another tier does not
+		// make a target faster, so the caller gets the refusal at once.
+		e.refusePastDeadline(f, outcome.ReasonDeadline)
 	case e.poolMayRecover(f):
 		f.stage = stageWaiting
-		e.wakeAt(f, e.now.Add(replaceWait))
+		e.wakeAt(f, e.now.Add(placementRetryWait))
 	default:
 		e.abandon(f, outcome.Refused(outcome.ReasonNoTarget, e.jitter(retrySoon), "no target of the pool is available"))
 	}
 }
 
-// poolMayRecover gives a pool without a target a moment, since a change of
-// schedulers or a failed probe often passes within the silence limit.
+// poolMayRecover reports whether to wait for a pool that has no available
+// target: a change of schedulers or a failed probe often passes within the
+// silence limit.
 func (e *Entry) poolMayRecover(f *flight) bool {
 	return e.now.Sub(f.req.Arrived) < e.timing.silence
 }
@@ -112,36 +115,36 @@
 func (e *Entry) offerAt(f *flight, target string) {
 	f.target = target
 	f.scheduler = e.schedulerOf(target)
-	f.own = false
+	f.onShare = false
 	if f.scheduler == "" && e.state == message.Draining {
-		// Nobody is left to hand targets to; what callers may still bring is
-		// served by this entry's own share.
-		f.stage, f.own = stageOffered, true
+		// No other entry is left to take over the targets. Requests that still
+		// arrive use this entry's share.
+		f.stage, f.onShare = stageOffered, true
 		f.offeredAt = e.now
 		e.sendOffer(f)
 		return
 	}
 	if f.scheduler == "" {
 		f.stage = stageWaiting
-		e.wakeAt(f, e.now.Add(replaceWait))
+		e.wakeAt(f, e.now.Add(placementRetryWait))
 		return
 	}
 	f.stage = stageOffered
-	f.heard = false
+	f.acknowledged = false
 	f.offeredAt = e.now
 	e.router.Offered(e.now, target)
-	e.note(Decision{ID: f.req.ID, Event: EventOffered, Target: target, Tier: f.req.Tier, Detail: string(f.scheduler)})
+	e.recordDecision(Decision{ID: f.req.ID, Event: EventOffered, Target: target, Tier: f.req.Tier, Detail: string(f.scheduler)})
 	e.sendOffer(f)
 }
 
-// sendOffer sends or refreshes the flight's present offer.
+// sendOffer sends or refreshes the flight's current offer.
 func (e *Entry) sendOffer(f *flight) {
-	e.asks++
-	f.remember(ask{number: e.asks, sent: e.now})
+	e.requestSeq++
+	f.rememberOffer(sentOffer{number: e.requestSeq, sent: e.now})
 	offer := e.offer(f)
 	e.wakeAt(f, earlier(e.now.Add(e.timing.grant/2), f.req.Deadline))
-	if f.own {
-		e.perform(e.share.Offer(e.now, e.cfg.Self.Incarnation, offer), fromShare)
+	if f.onShare {
+		e.perform(e.shareScheduler.Offer(e.now, e.cfg.Self.Incarnation, offer), fromShare)
 		return
 	}
 	e.send(f.scheduler, offer)
@@ -149,13 +152,13 @@
 
 func (e *Entry) offer(f *flight) message.Offer {
 	offer := message.Offer{
-		Ask: e.asks, ID: f.req.ID, Target: f.target,
+		Ask: e.requestSeq, ID: f.req.ID, Target: f.target,
 		Organisation: f.req.Organisation, Tier: f.req.Tier, Kind: f.req.Kind,
 		PromptTokens: f.req.PromptTokens, MaxTokens: f.req.MaxTokens,
-		Idempotent: f.req.Idempotent || !e.on(guardRepeat), Fingerprint: f.req.Fingerprint,
+		Idempotent: f.req.Idempotent || !e.enabled(guardRepeat), Fingerprint: f.req.Fingerprint,
 		Remaining: f.req.Deadline.Sub(e.now),
 		Alone:     e.suspects.Judge(e.now, f.req.Fingerprint) == suspects.Suspect,
-		Final:     f.final && !f.own,
+		Final:     f.final && !f.onShare,
 	}
 	if !f.req.FirstTokenBy.IsZero() {
 		offer.FirstToken = f.req.FirstTokenBy.Sub(e.now)
@@ -163,31 +166,31 @@
 	return offer
 }
 
-// attendOffered refreshes an offer that waits, moves it when the target's
-// scheduler changed, and falls back to the entry's own share of the target when
-// the scheduler stays silent.
-func (e *Entry) attendOffered(f *flight) {
+// handleOfferTimer refreshes a pending offer, moves it when the target's
+// scheduler changed, and falls back to another target or this entry's share
+// when the scheduler is unresponsive.
+func (e *Entry) handleOfferTimer(f *flight) {
 	if !e.now.Before(f.req.Deadline) {
-		e.refuseLate(f, outcome.ReasonDeadlinePassed)
+		e.refusePastDeadline(f, outcome.ReasonDeadlinePassed)
 		return
 	}
-	if !f.own && e.schedulerOf(f.target) != f.scheduler {
+	if !f.onShare && e.schedulerOf(f.target) != f.scheduler {
 		e.withdraw(f)
 		e.offerAt(f, f.target)
 		return
 	}
-	if !f.own && !f.heard && e.now.Sub(f.offeredAt) >= e.timing.grant {
-		e.schedulerSilent(f)
+	if !f.onShare && !f.acknowledged && e.now.Sub(f.offeredAt) >= e.timing.grant {
+		e.schedulerUnresponsive(f)
 		return
 	}
 	e.sendOffer(f)
 }
 
-// schedulerSilent moves a flight on whose scheduler does not answer: to another
-// target, whose scheduler may, or else to this entry's own share of the target.
-// The share is small, and a request that it refuses has lost the time in which
-// the others could have served it.
-func (e *Entry) schedulerSilent(f *flight) {
+// schedulerUnresponsive moves a flight whose scheduler does not answer to
+// another target or, if there is none, to this entry's share of the target. The
+// share comes last because it is small: a request that it refuses has lost the
+// time in which other targets could have served it.
+func (e *Entry) schedulerUnresponsive(f *flight) {
 	e.withdraw(f)
 	if !f.hasTried(f.target) {
 		f.tried = append(f.tried, f.target)
@@ -197,7 +200,7 @@
 		}
 	}
 	f.stage = stageOffered
-	f.own = true
+	f.onShare = true
 	f.offeredAt = e.now
 	e.sendOffer(f)
 }
--- a/internal/core/entry/platform.go
+++ b/internal/core/entry/platform.go
@@ -8,32 +8,33 @@
 	"sycamoretrail/internal/core/suspects"
 )
 
-// appender tells which duty an append belongs to.
-type appender uint8
+// appendSource identifies the component that an append belongs to.
+type appendSource uint8
 
 const (
-	appendClaims appender = iota
+	appendClaims appendSource = iota
 	appendOrders
 	appendVerdict
 	appendRenewal
 )
 
-// pendingAppend is an append whose answer has not come.
+// pendingAppend is an append that has not been answered.
 type pendingAppend struct {
-	duty appender
-	tag  uint64
+	source appendSource
+	tag    uint64
 }
 
-// append writes a record; its answer goes to the duty under the duty's own tag.
-func (e *Entry) append(stream record.Stream, rec record.Record, duty appender, tag uint64) {
+// append writes a record to the log. The answer is passed to the source with
+// the source's own tag.
+func (e *Entry) append(stream record.Stream, rec record.Record, src appendSource, tag uint64) {
 	data, err := record.Encode(rec)
 	if err != nil {
-		e.note(Decision{Event: EventDocument, Detail: err.Error()})
+		e.recordDecision(Decision{Event: EventDocument, Detail: err.Error()})
 		return
 	}
-	e.appends++
-	e.pending[e.appends] = pendingAppend{duty: duty, tag: tag}
-	e.emit(Append{Tag: e.appends, Stream: stream, Data: data})
+	e.appendSeq++
+	e.pending[e.appendSeq] = pendingAppend{source: src, tag: tag}
+	e.emit(Append{Tag: e.appendSeq, Stream: stream, Data: data})
 }
 
 func (e *Entry) appended(a LogAppended) {
@@ -42,21 +43,21 @@
 		return
 	}
 	delete(e.pending, a.Tag)
-	switch p.duty {
+	switch p.source {
 	case appendClaims:
 		e.performClaims(e.claims.Appended(e.now, p.tag, a.Offset, a.Failed))
 	case appendOrders:
 		e.performOrders(e.orders.Appended(e.now, p.tag, a.Offset, a.Failed))
 	case appendVerdict, appendRenewal:
-		// Repeated by its duty if it did not take effect.
+		// The source repeats it if it did not take effect.
 	}
 }
 
-// logRecord hands a record to the duty that follows its stream.
+// logRecord passes a record to the component that follows its stream.
 func (e *Entry) logRecord(r LogRecord) {
 	rec, err := record.Decode(r.Data)
 	if err != nil {
-		e.note(Decision{Event: EventDocument, Detail: err.Error()})
+		e.recordDecision(Decision{Event: EventDocument, Detail: err.Error()})
 		return
 	}
 	if partition, ok := e.partitionOf(r.Stream); ok {
@@ -105,8 +106,8 @@
 	return p, ok
 }
 
-// instances takes the platform's list, which lags: entries in it are hints to
-// membership, and a target that it calls leaving gets nothing new.
+// instances handles the platform's list, which lags. Entries in it are hints to
+// membership; a target that it shows as leaving gets no new requests.
 func (e *Entry) instances(list InstanceList) {
 	var rows []membership.Instance
 	for _, i := range list.Instances {
@@ -125,7 +126,7 @@
 	roleTarget = "target"
 )
 
-// performOrders carries out what the orders' duty decided.
+// performOrders carries out the effects of the orders component.
 func (e *Entry) performOrders(effects []orders.Effect) {
 	for _, effect := range effects {
 		switch o := effect.(type) {
@@ -142,27 +143,27 @@
 	if !known {
 		return
 	}
-	e.note(Decision{Event: EventOrder, Target: o.Target, Detail: o.Model + " " + o.Version})
+	e.recordDecision(Decision{Event: EventOrder, Target: o.Target, Detail: o.Model + " " + o.Version})
 	e.emit(Order{
 		Target: o.Target, Address: target.Address, Fencing: o.Fencing,
 		Model: o.Model, Version: o.Version, Adapters: o.Adapters,
 	})
 }
 
-// performSuspects shares what was found about requests that crash targets.
+// performSuspects shares findings about requests that crash targets.
 func (e *Entry) performSuspects(effects []suspects.Effect) {
 	for _, effect := range effects {
 		if effect.Share != nil {
 			e.broadcast(*effect.Share)
 		}
 		if effect.Append != nil {
-			e.note(Decision{Event: EventConvicted, Detail: "a request crashed a second target"})
+			e.recordDecision(Decision{Event: EventQuarantined, Detail: "a request crashed a second target"})
 			e.append(record.StreamVerdicts, record.Record{Verdicts: []record.Verdict{*effect.Append}}, appendVerdict, 0)
 		}
 	}
 }
 
-// broadcast tells every live peer.
+// broadcast sends a message to every live peer.
 func (e *Entry) broadcast(m message.Message) {
 	for _, member := range e.members.Live() {
 		if member.Incarnation != e.cfg.Self.Incarnation {
--- a/internal/core/entry/rebalance.go
+++ b/internal/core/entry/rebalance.go
@@ -8,8 +8,8 @@
 	"sycamoretrail/internal/core/scheduler"
 )
 
-// rebalance computes who schedules which target and who is home to which
-// partition, and hands over what changed.
+// rebalance assigns targets to schedulers and key partitions to coordinators,
+// and passes the changes on.
 func (e *Entry) rebalance() {
 	if e.doc == nil {
 		return
@@ -17,30 +17,30 @@
 	live := e.members.Live()
 	moves := e.plan.SetTargets(placementTargets(e.doc))
 	moves = append(moves, e.plan.SetMembers(live)...)
-	// Before the targets: a takeover waits for the reports of these members, and
-	// would wait its whole time for one that is gone.
-	e.places.SetMembers(e.now, incarnations(live))
-	e.placeTargets(len(live))
-	e.placePartitions(live)
+	// Set the members before the targets: a takeover waits for the reports of
+	// these members, and would wait its full time for one that has departed.
+	e.scheduler.SetMembers(e.now, incarnations(live))
+	e.assignTargets(len(live))
+	e.assignPartitions(live)
 	e.setQuorum()
 	e.setPools(live)
-	e.reportMoved(moves)
+	e.reportRuns(moves)
 }
 
-// setQuorum tells the schedulers whether this entry is in touch with most members.
+// setQuorum updates the quorum state of the schedulers.
 func (e *Entry) setQuorum() {
 	quorum := e.members.Quorum(e.now)
 	if e.quorum && !quorum {
-		e.quorumLost = e.now
+		e.quorumLostAt = e.now
 	}
 	e.quorum = quorum
-	e.places.SetQuorum(e.now, quorum)
-	e.share.SetQuorum(e.now, quorum)
+	e.scheduler.SetQuorum(e.now, quorum)
+	e.shareScheduler.SetQuorum(e.now, quorum)
 }
 
-// placeTargets gives the schedulers their targets: those placed here, and a
-// share of every target for the fallback and the baselines.
-func (e *Entry) placeTargets(live int) {
+// assignTargets gives the schedulers their targets: those assigned to this
+// entry, and a share of every target for the fallback and the baselines.
+func (e *Entry) assignTargets(live int) {
 	all := make([]scheduler.Target, 0, len(e.doc.Targets))
 	var held []scheduler.Target
 	for i := range e.doc.Targets {
@@ -50,38 +50,38 @@
 			held = append(held, t)
 		}
 	}
-	e.perform(e.places.SetTargets(e.now, held), fromPlaces)
-	e.perform(e.share.SetTargets(e.now, all), fromShare)
+	e.perform(e.scheduler.SetTargets(e.now, held), fromScheduler)
+	e.perform(e.shareScheduler.SetTargets(e.now, all), fromShare)
 	e.performOrders(e.orders.SetHeld(e.now, names(held)))
 	share := 1 / float64(max(live, 1))
 	for i := range all {
-		e.share.Scale(all[i].Name, share)
+		e.shareScheduler.Scale(all[i].Name, share)
 		if e.cfg.Policy == PolicyShares {
-			e.places.Scale(all[i].Name, share)
+			e.scheduler.Scale(all[i].Name, share)
 		}
-		e.willing(all[i].Name)
+		e.updateAvailability(all[i].Name)
 	}
 }
 
-// setPools tells the scheduler whom to ask before it refuses for want of
-// capacity. Every live entry may hold places of a pool, by schedule or by its
-// own share; the baselines ask nobody.
+// setPools sets which entries the scheduler consults before it refuses for lack
+// of capacity. Every live entry may hold slots of a pool, as a target's
+// scheduler or through its own share. The baselines consult no one.
 func (e *Entry) setPools(live []message.Member) {
 	var others []ident.Incarnation
 	for _, m := range live {
-		if m.Incarnation != e.cfg.Self.Incarnation && e.cfg.Policy == PolicyScheduler && e.on(guardFloors) {
+		if m.Incarnation != e.cfg.Self.Incarnation && e.cfg.Policy == PolicyScheduler && e.enabled(guardFloors) {
 			others = append(others, m.Incarnation)
 		}
 	}
 	for i := range e.doc.Pools {
-		e.places.SetPool(e.doc.Pools[i].Name, others)
+		e.scheduler.SetPool(e.doc.Pools[i].Name, others)
 	}
 }
 
-// reportMoved tells each new scheduler all that this entry runs at the targets
-// that are scheduled there now. It reports even if it runs nothing, so that the
-// new scheduler knows when it has heard all.
-func (e *Entry) reportMoved(moves []placement.Move) {
+// reportRuns reports to each new scheduler the runs that this entry has at the
+// targets it has taken over. It reports even without runs, so that the new
+// scheduler can tell when all reports have arrived.
+func (e *Entry) reportRuns(moves []placement.Move) {
 	if e.cfg.Policy != PolicyScheduler {
 		return
 	}
@@ -111,7 +111,7 @@
 	return runs
 }
 
-// schedulerOf names the entry that gives out the places of a target.
+// schedulerOf returns the entry that grants the slots of a target.
 func (e *Entry) schedulerOf(target string) ident.Incarnation {
 	if e.cfg.Policy != PolicyScheduler {
 		return e.cfg.Self.Incarnation
@@ -119,12 +119,12 @@
 	return e.plan.Scheduler(target)
 }
 
-func (e *Entry) placePartitions(live []message.Member) {
+func (e *Entry) assignPartitions(live []message.Member) {
 	var mine []int
 	for p := range partitions {
-		home := placement.Home(p, live)
-		e.homes[p] = home
-		if home == e.cfg.Self.Incarnation {
+		coordinator := placement.Home(p, live)
+		e.coordinators[p] = coordinator
+		if coordinator == e.cfg.Self.Incarnation {
 			mine = append(mine, p)
 		}
 	}
--- a/internal/core/entry/schedules_test.go
+++ b/internal/core/entry/schedules_test.go
@@ -13,7 +13,7 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// kind is what a step of a schedule does.
+// kind is the action of a step.
 type kind int
 
 const (
@@ -21,7 +21,7 @@
 	burst
 	serviceCall
 	keyedCall
-	poisonCall
+	crashingCall
 	resend
 	threeAtOnce
 	killEntry
@@ -30,8 +30,8 @@
 	crashTarget
 	leaveTarget
 	leaveInList
-	cutBoth
-	cutOneWay
+	blockBothWays
+	blockOneWay
 	dropSome
 	delayAll
 	logDown
@@ -43,31 +43,32 @@
 )
 
 var kindNames = [...]string{
-	"engineCall", "burst", "serviceCall", "keyedCall", "poisonCall", "resend", "threeAtOnce", "killEntry", "pauseEntry",
-	"drainEntry", "crashTarget", "leaveTarget", "leaveInList", "cutBoth", "cutOneWay", "dropSome", "delayAll",
+	"engineCall", "burst", "serviceCall", "keyedCall", "crashingCall", "resend", "threeAtOnce", "killEntry", "pauseEntry",
+	"drainEntry", "crashTarget", "leaveTarget", "leaveInList", "blockBothWays", "blockOneWay", "dropSome", "delayAll",
 	"logDown", "logLose", "logSlow", "listLag", "publishTwo",
 }
 
-// parts reports whether the step puts entries out of touch.
-func (k kind) parts() bool {
-	return slices.Contains([]kind{killEntry, pauseEntry, drainEntry, cutBoth, cutOneWay, dropSome, delayAll}, k)
+// disconnects reports whether the step breaks the contact between entries.
+func (k kind) disconnects() bool {
+	return slices.Contains([]kind{killEntry, pauseEntry, drainEntry, blockBothWays, blockOneWay, dropSome, delayAll}, k)
 }
 
-// step is one act of a schedule, at a time in milliseconds. What a to d mean
-// depends on the kind: places of entries, targets or calls; length; duration.
+// step is one action of a schedule, at a time in milliseconds. The meaning of a
+// to d depends on the kind: indexes of entries, targets or calls, a length, or
+// a duration.
 type step struct {
 	at         int
 	kind       kind
 	a, b, c, d int
 }
 
-// schedule is a whole test: the seed of the delays and the steps.
+// schedule is a complete test: the seed of the delays and the steps.
 type schedule struct {
 	seed  uint64
 	steps []step
 }
 
-// String is the schedule as Go source, to be kept as a test.
+// String returns the schedule as Go source, to be added as a test.
 func (s schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "schedule{%d, []step{\n", s.seed)
@@ -97,51 +98,51 @@
 	}
 })
 
-// run carries a schedule out and returns the promises that it broke.
-func (s schedule) run(hook func(*Entry)) []string { return s.carryOut(hook).broken }
+// run runs a schedule and returns the promises that it broke.
+func (s schedule) run(hook func(*Entry)) []string { return s.simulate(hook).violations }
 
-func (s schedule) carryOut(hook func(*Entry)) *world {
+func (s schedule) simulate(hook func(*Entry)) *world {
 	w := newWorld(s.seed, hook)
 	last := 0
 	for _, t := range s.steps {
 		last = max(last, t.at)
-		w.after(time.Duration(t.at)*time.Millisecond, func() { w.take(t) })
+		w.after(time.Duration(t.at)*time.Millisecond, func() { w.apply(t) })
 	}
 	w.until(time.Duration(last) * time.Millisecond)
-	for w.faulty > 0 {
+	for w.activeFaults > 0 {
 		w.until(w.since() + 100*time.Millisecond)
 	}
 	end := w.since()
-	for w.until(end + time.Second); w.since() < end+converges && !w.settled(); {
+	for w.until(end + time.Second); w.since() < end+convergenceBound && !w.settled(); {
 		w.until(w.since() + 200*time.Millisecond)
 	}
 	w.check()
 	return w
 }
 
-// lasting begins a fault and ends it after d quarter seconds and a bit.
-func (w *world) lasting(s step, begin, end func()) {
-	w.faulty++
+// timedFault starts a fault and ends it after 100 ms plus d times 250 ms.
+func (w *world) timedFault(s step, begin, end func()) {
+	w.activeFaults++
 	begin()
 	lasts := time.Duration(100+s.d*250) * time.Millisecond
-	if s.kind.parts() {
-		w.apart = append(w.apart, span{w.since(), w.since() + lasts})
+	if s.kind.disconnects() {
+		w.disconnected = append(w.disconnected, span{w.since(), w.since() + lasts})
 	}
 	w.after(lasts, func() {
-		w.faulty--
+		w.activeFaults--
 		end()
 	})
 }
 
-func (w *world) counted(s step, n *int, by int) {
-	w.lasting(s, func() { *n += by }, func() { *n -= by })
+func (w *world) countedFault(s step, n *int, by int) {
+	w.timedFault(s, func() { *n += by }, func() { *n -= by })
 }
 
-func (w *world) take(s step) {
+func (w *world) apply(s step) {
 	n, other := w.nodes[s.a%entries], w.nodes[s.b%entries]
 	t := w.targets[s.a%len(w.targets)]
 	switch s.kind {
-	case engineCall, serviceCall, keyedCall, poisonCall:
+	case engineCall, serviceCall, keyedCall, crashingCall:
 		w.newCall(s).send()
 	case burst:
 		for i := range 5 {
@@ -151,41 +152,41 @@
 		w.sendAgain(s)
 	case killEntry:
 		if n.up {
-			w.lasting(s, n.kill, func() { w.startNode(n.place); w.noteList() })
+			w.timedFault(s, n.kill, func() { w.startNode(n.index); w.noteList() })
 		}
 	case pauseEntry:
 		if n.up && !n.paused {
-			w.lasting(s, func() { n.paused = true }, n.wake)
+			w.timedFault(s, func() { n.paused = true }, n.resume)
 		}
 	case drainEntry:
-		w.apart = append(w.apart, span{w.since(), w.since()})
+		w.disconnected = append(w.disconnected, span{w.since(), w.since()})
 		n.input(DrainStart{})
 	case crashTarget:
 		t.crash(time.Duration(s.d*50) * time.Millisecond)
 	case leaveTarget, leaveInList:
 		w.leave(t, s)
-	case cutBoth, cutOneWay:
+	case blockBothWays, blockOneWay:
 		if n != other {
-			w.cut(s, n.place, other.place)
+			w.blockLink(s, n.index, other.index)
 		}
 	case dropSome:
-		w.counted(s, &w.faults.drop, 30)
+		w.countedFault(s, &w.faults.drop, 30)
 	case delayAll:
-		w.counted(s, &w.faults.delay, 40)
+		w.countedFault(s, &w.faults.delay, 40)
 	case logDown:
-		w.counted(s, &w.faults.logDown, 1)
+		w.countedFault(s, &w.faults.logDown, 1)
 	case logLose:
-		w.counted(s, &w.faults.logLose, 1)
+		w.countedFault(s, &w.faults.logLose, 1)
 	case logSlow:
-		w.counted(s, &w.faults.logSlow, 1)
+		w.countedFault(s, &w.faults.logSlow, 1)
 	case listLag:
-		w.counted(s, &w.faults.listLag, 30)
+		w.countedFault(s, &w.faults.listLag, 30)
 	case publishTwo:
 		w.publishTwo(s)
 	}
 }
 
-// sendAgain sends an earlier call's id again, to one or to three entries at once.
+// sendAgain resends an earlier call's id to one or to three entries at once.
 func (w *world) sendAgain(s step) {
 	if len(w.calls) == 0 {
 		return
@@ -194,55 +195,57 @@
 	if of.id == "" {
 		return
 	}
-	w.again(of, s.a)
+	w.resend(of, s.a)
 	if s.kind == threeAtOnce {
-		w.again(of, s.a+1)
-		w.again(of, s.a+2)
+		w.resend(of, s.a+1)
+		w.resend(of, s.a+2)
 	}
 }
 
-// leave lets a target leave for good: by its own word, or by the list's alone.
+// leave lets a target leave for good: it reports that itself, or only the list
+// shows it.
 func (w *world) leave(t *target, s step) {
 	if t.leaving {
 		return
 	}
-	t.leaving, t.says, t.leftAt = true, s.kind == leaveTarget, w.now
-	if !t.says {
-		t.leftAt = w.now.Add(time.Hour) // until the list shows it; see world.list
+	t.leaving, t.declares, t.leavingSince = true, s.kind == leaveTarget, w.now
+	if !t.declares {
+		t.leavingSince = w.now.Add(time.Hour) // until the list shows it; see world.list
 	}
 	w.noteList()
 }
 
-func (w *world) cut(s step, a, b int) {
+func (w *world) blockLink(s step, a, b int) {
 	ways := [][2]int{{a, b}, {b, a}}
-	if s.kind == cutOneWay {
+	if s.kind == blockOneWay {
 		ways = ways[:1]
 	}
-	set := func(cut bool) func() {
+	set := func(blocked bool) func() {
 		return func() {
 			for _, way := range ways {
-				w.cuts[way] = cut
-				if !cut {
+				w.blockedLinks[way] = blocked
+				if !blocked {
 					w.connect(w.nodes[way[1]], w.nodes[way[0]])
 				}
 			}
 		}
 	}
-	w.lasting(s, set(true), set(false))
+	w.timedFault(s, set(true), set(false))
 }
 
-// publishTwo lets two operators publish close together from the same base.
+// publishTwo publishes two documents from the same base in short succession.
 func (w *world) publishTwo(s step) {
 	base := w.nodes[s.a%entries].core.version
 	for i := range 2 {
 		d := testDocument(fmt.Sprint("doc-", w.seq, "-", i), base)
 		d.Limits.QueuePerTarget = 10 + i
-		w.after(w.few(20*time.Millisecond), func() { w.write(record.StreamDocuments, encodedDocument(d)) })
+		w.after(w.randomBelow(20*time.Millisecond), func() { w.write(record.StreamDocuments, encodedDocument(d)) })
 	}
 }
 
-// TestSchedules draws schedules from a fixed seed and shrinks the first that
-// breaks a promise to a few steps, which are then kept in scripts_test.go.
+// TestSchedules draws schedules from a fixed seed and shrinks the first one
+// that breaks a promise to a few steps. Such schedules are kept in
+// scripts_test.go.
 func TestSchedules(t *testing.T) {
 	setUnlessGiven(t, "rapid.seed", "7")
 	setUnlessGiven(t, "rapid.checks", "600")
@@ -265,7 +268,7 @@
 	}
 }
 
-// TestManySchedules runs more of them side by side, without shrinking.
+// TestManySchedules runs more schedules in parallel, without shrinking.
 func TestManySchedules(t *testing.T) {
 	const workers, each = 4, 350
 	for worker := range workers {
@@ -281,19 +284,19 @@
 	}
 }
 
-// TestSchedulesNoticeAMissingSafeguard shows that the check can fail: with each
-// safeguard switched off, some schedule of the first few hundred breaks the
-// promise that it carries.
-func TestSchedulesNoticeAMissingSafeguard(t *testing.T) {
+// TestSchedulesDetectMissingSafeguard shows that the checks can fail: with any
+// one safeguard disabled, one of the first few hundred schedules breaks the
+// promise that it protects.
+func TestSchedulesDetectMissingSafeguard(t *testing.T) {
 	for _, m := range []struct {
-		off     guard
-		promise string
+		disabled guard
+		promise  string
 	}{
 		{guardVoid, "dispatched once"},
 		{guardClaim, "key once"},
 		{guardPartial, "not run"},
 		{guardOwnerGone, "not run"},
-		{guardGiveUp, "final word"},
+		{guardGiveUp, "final outcome"},
 		{guardFloors, "tiers"},
 		{guardLeaving, "leaving"},
 		{guardRepeat, "never preempt"},
@@ -303,18 +306,19 @@
 	} {
 		t.Run(m.promise, func(t *testing.T) {
 			t.Parallel()
-			for i := range mutantSchedules {
-				for _, broken := range schedules.Example(i).run(func(e *Entry) { e.off = m.off }) {
+			for i := range safeguardSchedules {
+				for _, broken := range schedules.Example(i).run(func(e *Entry) { e.disabled = m.disabled }) {
 					if strings.HasPrefix(broken, m.promise) {
 						t.Logf("schedule %d: %s", i, broken)
 						return
 					}
 				}
 			}
-			t.Errorf("no schedule notices that safeguard %d is missing", m.off)
+			t.Errorf("no schedule detects that safeguard %d is missing", m.disabled)
 		})
 	}
 }
 
-// mutantSchedules bounds the search for a schedule that notices.
-const mutantSchedules = 800
+// safeguardSchedules bounds the search for a schedule that detects a missing
+// safeguard.
+const safeguardSchedules = 800
--- a/internal/core/entry/seats.go
+++ b/internal/core/entry/seats.go
@@ -6,52 +6,55 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// maxTiers bounds the tiers of a document; the document's check enforces it.
+// maxTiers is the largest number of tiers in a document; the document's check
+// enforces it.
 const maxTiers = 16
 
-// seats lists by tier the flights that may make way for a higher tier when the
-// entry itself is full: first those not dispatched, then repeatable runs.
-type seats struct {
+// evictionCandidates lists by tier the flights that can be evicted for a higher
+// tier when the entry itself is full: those not dispatched, and repeatable
+// runs.
+type evictionCandidates struct {
 	waiting [maxTiers]list.List
 	running [maxTiers]list.List
 }
 
-// seat is a flight's place in one of the lists.
-type seat struct {
+// listPosition is a flight's position in one of the lists.
+type listPosition struct {
 	list    *list.List
 	element *list.Element
 }
 
-func (s *seats) leave(f *flight) {
-	if f.seat.list != nil {
-		f.seat.list.Remove(f.seat.element)
+func (s *evictionCandidates) remove(f *flight) {
+	if f.evictionPosition.list != nil {
+		f.evictionPosition.list.Remove(f.evictionPosition.element)
 	}
-	f.seat = seat{}
+	f.evictionPosition = listPosition{}
 }
 
-func (s *seats) wait(f *flight) {
-	s.take(f, &s.waiting[f.req.Tier])
+func (s *evictionCandidates) addWaiting(f *flight) {
+	s.moveTo(f, &s.waiting[f.req.Tier])
 }
 
-func (s *seats) run(f *flight) {
+func (s *evictionCandidates) addRunning(f *flight) {
 	if !preemptible(&f.req) {
-		s.leave(f)
+		s.remove(f)
 		return
 	}
-	s.take(f, &s.running[f.req.Tier])
+	s.moveTo(f, &s.running[f.req.Tier])
 }
 
-func (s *seats) take(f *flight, to *list.List) {
-	if f.seat.list == to {
+func (s *evictionCandidates) moveTo(f *flight, to *list.List) {
+	if f.evictionPosition.list == to {
 		return
 	}
-	s.leave(f)
-	f.seat = seat{list: to, element: to.PushBack(f)}
+	s.remove(f)
+	f.evictionPosition = listPosition{list: to, element: to.PushBack(f)}
 }
 
-// yielding finds the latest flight of the lowest tier below the given one, a
-// waiting one before a running one of the same tier.
-func (s *seats) yielding(above request.Tier) *flight {
+// lowestBelow returns the latest flight of the lowest tier below the given one,
+// and prefers waiting to running flights of the same tier. It returns nil if
+// there is none.
+func (s *evictionCandidates) lowestBelow(above request.Tier) *flight {
 	for t := maxTiers - 1; t > int(above); t-- {
 		for _, l := range []*list.List{&s.waiting[t], &s.running[t]} {
 			if last := l.Back(); last != nil {
@@ -62,9 +65,9 @@
 	return nil
 }
 
-// preemptible reports whether a run may be cancelled for a higher tier's sake.
-// A call that may not be repeated is never cut: its effect may be half done and
-// nobody could send it again.
+// preemptible reports whether a run may be cancelled in favor of a higher tier.
+// A call that may not be repeated is never cancelled: its effect may be half
+// done, and no one could resend it.
 func preemptible(r *request.Request) bool {
 	return r.Kind == request.Engine && r.Idempotent
 }
--- a/internal/core/entry/targets.go
+++ b/internal/core/entry/targets.go
@@ -11,81 +11,83 @@
 	"sycamoretrail/internal/core/scheduler"
 )
 
-// deathWindow is how long broken runs of one target count as the same death: all
-// that were in flight when it died break within moments of each other.
-const deathWindow = time.Second
+// crashWindow is how long runs of one target that break off count as the same
+// crash: all requests in flight break off within moments of each other.
+const crashWindow = time.Second
 
-// death is a suspected death of a target.
-type death struct {
+// targetCrash is a suspected crash of a target.
+type targetCrash struct {
 	since time.Time
 	name  string
 }
 
-// targetWatch is what is known of a target's willingness, by source. It gets
-// new work only while none of them speaks against it.
-type targetWatch struct {
+// targetAvailability holds the reasons, by source, why a target gets no new
+// requests. The target is available while there is none.
+type targetAvailability struct {
 	unreachable bool
-	// leaving by its own readiness answer, by the platform's list, or because
-	// it turned a request away as leaving.
+	// Leaving according to its readiness answer, to the platform's list, or to
+	// its refusal of a request.
 	leavingProbe, leavingList, leavingAnswer bool
-	// listedAt is when the list last called it leaving.
-	listedAt time.Time
+	// listedLeavingAt is when the list last showed it as leaving.
+	listedLeavingAt time.Time
 }
 
-func (w targetWatch) available() bool {
+func (w targetAvailability) available() bool {
 	return !w.unreachable && !w.leavingProbe && !w.leavingList && !w.leavingAnswer
 }
 
-func (e *Entry) watch(target string) *targetWatch {
-	w := e.watches[target]
+func (e *Entry) availabilityOf(target string) *targetAvailability {
+	w := e.availability[target]
 	if w == nil {
-		w = &targetWatch{}
-		e.watches[target] = w
+		w = &targetAvailability{}
+		e.availability[target] = w
 	}
 	return w
 }
 
-// targetState takes the finding of a probe.
+// targetState handles the result of a probe.
 func (e *Entry) targetState(s TargetState) {
-	w := e.watch(s.Target)
+	w := e.availabilityOf(s.Target)
 	w.unreachable = !s.Reachable
 	w.leavingProbe = s.Leaving
 	if s.Reachable && !s.Leaving {
 		w.leavingAnswer = false
 	}
 	e.router.Report(e.now, s.Target, s.Running, s.Waiting)
-	e.willing(s.Target)
+	e.updateAvailability(s.Target)
 	if s.Reachable && s.Model != "" {
 		e.performOrders(e.orders.Observed(e.now, s.Target, s.Model, s.Version, s.Adapters))
 	}
 }
 
-// listDoubt exceeds the lag of the platform's list.
-const listDoubt = 40 * time.Second
+// listLagBound exceeds the lag of the platform's list.
+const listLagBound = 40 * time.Second
 
-// listLeaving takes the platform's word on a target; the list lags, so it can
-// only add to what the probe says. An older state of the list may be shown after
-// a newer one: were it believed, a target would get work again while it leaves,
-// so "not leaving" counts once it has stood for longer than the list can lag.
+// listLeaving applies the platform's list to a target. The list lags, so it can
+// only add to the probe's result. It may also show an older state after a newer
+// one, and believing that would send work to a target while it leaves. So "not
+// leaving" counts only once the list can no longer lag behind the last
+// "leaving".
 func (e *Entry) listLeaving(target string, leaving bool) {
-	w := e.watch(target)
+	w := e.availabilityOf(target)
 	if leaving {
-		w.listedAt = e.now
+		w.listedLeavingAt = e.now
 	}
-	if w.leavingList == leaving || !leaving && e.now.Sub(w.listedAt) < listDoubt {
+	if w.leavingList == leaving || !leaving && e.now.Sub(w.listedLeavingAt) < listLagBound {
 		return
 	}
 	w.leavingList = leaving
-	e.willing(target)
+	e.updateAvailability(target)
 }
 
-// willing tells the duties whether a target may get new work. The operators'
-// word in the document stands above all others.
-func (e *Entry) willing(target string) {
-	available := e.watch(target).available() && !e.declaredLeaving(target) || !e.on(guardLeaving)
+// updateAvailability sets in all components whether a target may get new
+// requests. A target that the document declares as leaving gets none, whatever
+// other sources report.
+func (e *Entry) updateAvailability(target string) {
+	available := e.availabilityOf(target).available() && !e.declaredLeaving(target) || !e.enabled(guardLeaving)
 	e.router.Reachable(target, available)
-	e.perform(e.places.SetAvailable(e.now, target, available), fromPlaces)
-	e.perform(e.share.SetAvailable(e.now, target, available), fromShare)
+	e.perform(e.scheduler.SetAvailable(e.now, target, available), fromScheduler)
+	e.perform(e.shareScheduler.SetAvailable(e.now, target, available), fromShare)
 }
 
 func (e *Entry) declaredLeaving(target string) bool {
@@ -96,42 +98,43 @@
 	return known && t.Leaving
 }
 
-// brokenAt holds a run that broke against the death of its target, which is
-// scheduled here. One entry, the target's scheduler, names the death, so that it
-// is counted once however many owners saw their runs break.
+// recordCrash attributes a run that broke off to a crash of its target, which
+// is scheduled here. Only the target's scheduler names the crash, so that it
+// counts once, however many owners see their runs break off.
 //
-// Failure: a request that kills its target is sent again at once. Symptom: were
-// the death judged only when all broken runs are gathered, the request would run
-// on target after target meanwhile. So each run is held against it as it breaks.
-func (e *Entry) brokenAt(d message.Done) {
-	fingerprint, known := e.places.Fingerprint(d.Target, d.ID)
+// Each run is recorded as it breaks off. A request that crashes its target may
+// be resent at once; if the crash were evaluated only after all its runs were
+// collected, the request would run on target after target in the meantime.
+func (e *Entry) recordCrash(d message.Done) {
+	fingerprint, known := e.scheduler.Fingerprint(d.Target, d.ID)
 	if !known {
 		return
 	}
-	died := e.deaths[d.Target]
-	if died == nil {
-		e.deathCount++
-		died = &death{since: e.now, name: fmt.Sprintf("%s/%d", e.cfg.Self.Incarnation, e.deathCount)}
-		e.deaths[d.Target] = died
-		e.deathOrder = append(e.deathOrder, d.Target)
+	crash := e.crashes[d.Target]
+	if crash == nil {
+		e.crashCount++
+		crash = &targetCrash{since: e.now, name: fmt.Sprintf("%s/%d", e.cfg.Self.Incarnation, e.crashCount)}
+		e.crashes[d.Target] = crash
+		e.crashOrder = append(e.crashOrder, d.Target)
 	}
-	e.performSuspects(e.suspects.Death(e.now, d.Target, died.name, []request.Fingerprint{fingerprint}))
+	e.performSuspects(e.suspects.Death(e.now, d.Target, crash.name, []request.Fingerprint{fingerprint}))
 }
 
-// closeDeaths ends the windows that are over; what breaks after is another death.
-func (e *Entry) closeDeaths() {
-	for len(e.deathOrder) > 0 {
-		target := e.deathOrder[0]
-		if e.now.Sub(e.deaths[target].since) < deathWindow {
+// expireCrashes ends the crash windows that have passed. Runs that break off
+// later belong to another crash.
+func (e *Entry) expireCrashes() {
+	for len(e.crashOrder) > 0 {
+		target := e.crashOrder[0]
+		if e.now.Sub(e.crashes[target].since) < crashWindow {
 			return
 		}
-		e.deathOrder = e.deathOrder[1:]
-		delete(e.deaths, target)
+		e.crashOrder = e.crashOrder[1:]
+		delete(e.crashes, target)
 	}
 }
 
-// probes lists the targets that this entry watches: those that it schedules,
-// and those held elsewhere for whose orders its own wait.
+// probes returns the targets that this entry probes: those that it schedules,
+// and those of other schedulers that its own orders wait for.
 func (e *Entry) probes() []document.Target {
 	if e.doc == nil {
 		return nil
@@ -146,15 +149,16 @@
 	return watched
 }
 
-// watchOrders renews the list of targets that are watched for their orders.
-func (e *Entry) watchOrders() {
+// updateWatchedOrders updates the list of targets that are probed for their
+// orders.
+func (e *Entry) updateWatchedOrders() {
 	if watched := e.orders.Watched(e.now); !slices.Equal(watched, e.watchedOrders) {
 		e.watchedOrders = watched
-		e.changed = true
+		e.viewChanged = true
 	}
 }
 
-// schedulerTarget describes a target to the schedulers.
+// schedulerTarget returns a target's description for the schedulers.
 func (e *Entry) schedulerTarget(t *document.Target) scheduler.Target {
 	class, _ := e.index.Class(t.Class)
 	return scheduler.Target{
@@ -166,7 +170,7 @@
 	}
 }
 
-// fastestSteps finds each pool's least declared step time.
+// fastestSteps returns each pool's shortest declared step time.
 func (e *Entry) fastestSteps() map[string]time.Duration {
 	fastest := make(map[string]time.Duration, len(e.doc.Pools))
 	for i := range e.doc.Targets {
@@ -178,7 +182,7 @@
 	return fastest
 }
 
-// schedulerSettings turns the document's rules into the schedulers' settings.
+// schedulerSettings returns the schedulers' settings from the document.
 func (e *Entry) schedulerSettings() scheduler.Settings {
 	doc := e.doc
 	weights := make(map[string]float64, len(doc.Organisations))
--- a/internal/core/entry/view.go
+++ b/internal/core/entry/view.go
@@ -11,22 +11,23 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Publish gives the edges a new immutable view of what they need to know.
-// It is put out whenever the view changed.
+// Publish gives the edges a new immutable view. It is emitted whenever the view
+// has changed.
 type Publish struct{ View *View }
 
-// View is what the edges read without asking the core.
+// View is the state that the edges read without calling the core.
 type View struct {
 	State message.State
-	// Version of the document in force; 0 and a nil Document: none yet.
+	// Version is the version of the document in force. Without a document, it
+	// is 0 and Document is nil.
 	Version  int64
 	Document *document.Document
 	// Entries are the members that callers may use, in this entry's order.
 	Entries []message.Member
-	// Probes are the targets whose readiness and load this entry watches.
+	// Probes are the targets whose readiness and load this entry probes.
 	Probes []document.Target
-	// Prefix for new ids, and until when it may be handed out and for how long
-	// an answer to "which entry" is good.
+	// Prefix is the prefix for new ids. GoodFor is how long it may be handed
+	// out and how long an answer to "which entry" is valid.
 	Prefix  ident.Prefix
 	GoodFor time.Duration
 }
@@ -37,8 +38,8 @@
 	return string(m.Incarnation) == holder
 }
 
-// OwnerFirst lists the entries, the owner of the prefix first: at any other entry
-// each request with the prefix would cost a question to the owner.
+// OwnerFirst returns the entries with the owner of the prefix first: at any
+// other entry each request with the prefix costs a query to the owner.
 func (v *View) OwnerFirst() []message.Member {
 	members := make([]message.Member, 0, len(v.Entries))
 	for _, owner := range []bool{true, false} {
@@ -51,7 +52,7 @@
 	return members
 }
 
-// Decision is a line for the operators' log and for explain.
+// Decision is a line in the operators' log and in an explanation.
 type Decision struct {
 	ID     ident.RequestID
 	Event  Event
@@ -61,19 +62,19 @@
 	Detail string
 }
 
-// Event names a decision.
+// Event is the kind of a decision.
 type Event string
 
 const (
-	EventAccepted   Event = "accepted"
-	EventOffered    Event = "offered"
-	EventGranted    Event = "granted"
-	EventDispatched Event = "dispatched"
-	EventSettled    Event = "settled"
-	EventPreempted  Event = "preempted"
-	EventFloor      Event = "floor"
-	EventConvicted  Event = "convicted"
-	EventDocument   Event = "document"
-	EventMember     Event = "member"
-	EventOrder      Event = "order"
+	EventAccepted    Event = "accepted"
+	EventOffered     Event = "offered"
+	EventGranted     Event = "granted"
+	EventDispatched  Event = "dispatched"
+	EventSettled     Event = "settled"
+	EventPreempted   Event = "preempted"
+	EventFloor       Event = "floor"
+	EventQuarantined Event = "convicted"
+	EventDocument    Event = "document"
+	EventMember      Event = "member"
+	EventOrder       Event = "order"
 )
--- a/internal/core/entry/world_test.go
+++ b/internal/core/entry/world_test.go
@@ -24,39 +24,43 @@
 	listEvery  = 300 * time.Millisecond
 	readEvery  = 250 * time.Millisecond
 	warmUp     = 900 * time.Millisecond
-	// leavingFor is "a few seconds" at this document's intervals.
-	leavingFor = time.Second
-	// converges is within what time an accepted document is in force everywhere.
-	converges = 11 * time.Second
-	patience  = 700 * time.Millisecond
+	// leavingBound is how long a leaving target may still get requests: "a few
+	// seconds", scaled to the intervals of the test document.
+	leavingBound = time.Second
+	// convergenceBound is how soon an accepted document must be in force
+	// everywhere.
+	convergenceBound = 11 * time.Second
+	callerWait       = 700 * time.Millisecond
 )
 
-// world is some entries' cores, joined by queues in memory, and the fakes of
-// all that lies round them. Times are since its beginning.
+// world simulates the cores of some entries, connected by queues in memory, and
+// fakes of everything around them. Times are relative to its start.
 type world struct {
-	now     time.Time
-	start   time.Time
-	random  *rand.Rand
-	events  eventHeap
-	seq     int
-	nodes   []*node
-	targets []*target
-	log     map[record.Stream][]logRecord
-	calls   []*call
-	cuts    map[[2]int]bool
-	rows    []listed
-	faulty  int // faults that last now
-	faults  faultState
-	// lastWake is when a paused entry last woke; it reads the list anew then.
-	lastWake time.Time
-	// apart are the times in which entries were out of touch with each other.
-	apart []span
-	hook  func(*Entry)
-	// broken are the promises that were seen broken.
-	broken []string
+	now          time.Time
+	start        time.Time
+	random       *rand.Rand
+	events       eventHeap
+	seq          int
+	nodes        []*node
+	targets      []*target
+	log          map[record.Stream][]logRecord
+	calls        []*call
+	blockedLinks map[[2]int]bool
+	listStates   []listState
+	activeFaults int
+	faults       faultState
+	// lastResume is when a paused entry last resumed. Only then does it read the
+	// list again.
+	lastResume time.Time
+	// disconnected lists the periods in which entries had no contact with each
+	// other.
+	disconnected []span
+	hook         func(*Entry)
+	// violations lists the broken promises.
+	violations []string
 }
 
-// faultState is what the log, the list and the links suffer from now.
+// faultState holds the current faults of the log, the list and the links.
 type faultState struct {
 	logDown, logLose, logSlow, listLag, drop, delay int
 }
@@ -68,7 +72,7 @@
 
 type span struct{ from, to time.Duration }
 
-type listed struct {
+type listState struct {
 	at   time.Time
 	rows []Instance
 }
@@ -109,17 +113,18 @@
 
 func (w *world) since() time.Duration { return w.now.Sub(w.start) }
 
-func (w *world) breaks(promise, format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%s at %s: %s", promise, w.since(), fmt.Sprintf(format, args...)))
+func (w *world) violate(promise, format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%s at %s: %s", promise, w.since(), fmt.Sprintf(format, args...)))
 }
 
-// few is a short random time, so that messages overtake each other.
-func (w *world) few(most time.Duration) time.Duration {
+// randomBelow returns a random time below most, so that messages overtake each
+// other.
+func (w *world) randomBelow(most time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(most)))
 }
 
-// testDocument is a small deployment with short intervals: two engines and two
-// service targets with one or two places each, three tiers.
+// testDocument returns a small deployment with short intervals: two engines
+// with one slot each, two service targets with two slots each, and three tiers.
 func testDocument(id string, base int64) *document.Document {
 	d := &document.Document{
 		Schema: 1, ID: id, Base: base,
@@ -166,17 +171,17 @@
 	return encoded
 }
 
-// newWorld starts the entries on a log that holds one document.
+// newWorld starts the entries with a log that holds one document.
 func newWorld(seed uint64, hook func(*Entry)) *world {
 	begin := time.Unix(1_700_000_000, 0)
 	w := &world{
 		now: begin, start: begin, random: rand.New(rand.NewPCG(seed, 1)), hook: hook,
-		log: map[record.Stream][]logRecord{}, cuts: map[[2]int]bool{},
+		log: map[record.Stream][]logRecord{}, blockedLinks: map[[2]int]bool{},
 	}
 	first := testDocument("first", 0)
 	for i := range first.Targets {
 		t := &first.Targets[i]
-		w.targets = append(w.targets, &target{world: w, name: t.Name, pool: t.Pool, up: true, runs: map[ident.RequestID]*run{}})
+		w.targets = append(w.targets, &target{world: w, name: t.Name, pool: t.Pool, up: true, runs: map[ident.RequestID]*targetRun{}})
 	}
 	w.write(record.StreamDocuments, encodedDocument(first))
 	w.write(record.StreamDocuments, renewal(first, 1))
@@ -190,7 +195,8 @@
 	return w
 }
 
-// renewal lets readers that start in the middle of the log be certain.
+// renewal returns a renewal record, which makes the version known to readers
+// that start in the middle of the log.
 func renewal(d *document.Document, version int64) []byte {
 	data, _ := json.Marshal(d)
 	encoded, err := record.Encode(record.Record{Document: &record.Document{Data: data, Version: version, Through: version}})
@@ -211,12 +217,12 @@
 	for _, t := range w.targets {
 		rows = append(rows, Instance{Name: t.name, Zone: "z0", Role: roleTarget, Leaving: t.leaving})
 	}
-	w.rows = append(w.rows, listed{w.now, rows})
+	w.listStates = append(w.listStates, listState{w.now, rows})
 }
 
 func (w *world) list() []Instance {
-	seen := w.rows[0]
-	for _, l := range w.rows {
+	seen := w.listStates[0]
+	for _, l := range w.listStates {
 		if !l.at.After(w.now.Add(-time.Duration(w.faults.listLag) * time.Second)) {
 			seen = l
 		}
@@ -224,7 +230,7 @@
 	for _, row := range seen.rows {
 		if row.Role == roleTarget && row.Leaving {
 			t := w.target(row.Name)
-			t.leftAt = earlier(t.leftAt, w.now)
+			t.leavingSince = earlier(t.leavingSince, w.now)
 		}
 	}
 	return slices.Clone(seen.rows)
@@ -237,7 +243,7 @@
 	return b
 }
 
-// write appends to the log; readers learn of it a little later.
+// write appends to the log. Readers get the record a little later.
 func (w *world) write(stream record.Stream, data []byte) int64 {
 	w.log[stream] = append(w.log[stream], logRecord{w.now, slices.Clone(data)})
 	for _, n := range w.nodes {
@@ -245,25 +251,26 @@
 			continue
 		}
 		if f := n.follows[stream]; f != nil {
-			w.after(w.few(8*time.Millisecond), func() { n.read(f) })
+			w.after(w.randomBelow(8*time.Millisecond), func() { n.read(f) })
 		}
 	}
 	return int64(len(w.log[stream]))
 }
 
-// converged reports whether every live entry has the document in force that the
-// log's rule gives, judged anew from the whole log.
+// converged reports whether every live entry has the document in force that
+// follows from the complete log.
 func (w *world) converged() bool {
-	rule := ruleOfLog(w.log[record.StreamDocuments])
+	version := versionByLog(w.log[record.StreamDocuments])
 	for _, n := range w.nodes {
-		if n.up && n.core.version != rule {
+		if n.up && n.core.version != version {
 			return false
 		}
 	}
 	return true
 }
 
-// settled reports whether nothing is under way any more.
+// settled reports whether all requests are settled and the entries have
+// converged.
 func (w *world) settled() bool {
 	for _, c := range w.calls {
 		if !c.seen.Settled {
@@ -278,15 +285,15 @@
 	return w.converged()
 }
 
-// check judges a schedule that has come to its end.
+// check checks the promises at the end of a schedule.
 func (w *world) check() {
 	for _, n := range w.nodes {
 		if n.up && len(n.core.flights) > 0 {
-			w.breaks("final word", "%s still holds %d requests", n.self.Name, len(n.core.flights))
+			w.violate("final outcome", "%s still holds %d requests", n.self.Name, len(n.core.flights))
 		}
 	}
 	if !w.converged() {
-		w.breaks("convergence", "versions differ")
+		w.violate("convergence", "versions differ")
 	}
 	in := report.Input{Tiers: []string{"top", "mid", "low"}, Tolerance: 12 * time.Millisecond}
 	for _, c := range w.calls {
@@ -306,29 +313,31 @@
 		"not run": r.FalseNotRun,
 	} {
 		if count > 0 {
-			w.breaks(name, "%v", r.Violations)
+			w.violate(name, "%v", r.Violations)
 		}
 	}
 	for _, inversion := range r.Violations["tier_inversions"] {
 		id, lower, _ := strings.Cut(inversion, " while ")
-		if !w.wereApart(id) && !w.repeated(id) && !w.ofNoUse(lower) {
-			w.breaks("tiers", "%s", inversion)
+		if !w.wasDisconnected(id) && !w.repeated(id) && !w.notReusable(lower) {
+			w.violate("tiers", "%s", inversion)
 		}
 	}
-	slices.Sort(w.broken)
+	slices.Sort(w.violations)
 }
 
-// apartFor is how long the floors need after entries were out of touch: silence,
-// a takeover, and a floor that the former scheduler had promised.
-const apartFor = 1500 * time.Millisecond
+// recoveryTime is how long the floors need after entries have lost contact: the
+// silence limit, a takeover, and a floor that the previous scheduler had
+// promised.
+const recoveryTime = 1500 * time.Millisecond
 
-// wereApart reports whether entries were out of touch when a request was
-// refused. The order of tiers across schedulers is promised by exchanges, so
-// within these times it can't be: the request's own deadline may come first.
-func (w *world) wereApart(id string) bool {
+// wasDisconnected reports whether a request was refused while entries had no
+// contact, or shortly after. The order of tiers across schedulers depends on
+// messages between them and cannot be kept then: the request's own deadline may
+// come first.
+func (w *world) wasDisconnected(id string) bool {
 	for _, c := range w.calls {
-		for _, s := range w.apart {
-			if c.seen.ID == id && c.seen.Ended >= s.from && c.seen.Ended <= s.to+apartFor {
+		for _, s := range w.disconnected {
+			if c.seen.ID == id && c.seen.Ended >= s.from && c.seen.Ended <= s.to+recoveryTime {
 				return true
 			}
 		}
@@ -336,8 +345,8 @@
 	return false
 }
 
-// repeated reports whether an id was sent more than once: an entry repeats the
-// refusal that it gave the first time, whatever is served by then.
+// repeated reports whether an id was sent more than once. An entry repeats its
+// first refusal, whatever is served by then.
 func (w *world) repeated(id string) bool {
 	n := 0
 	for _, c := range w.calls {
@@ -348,9 +357,10 @@
 	return n > 1
 }
 
-// ofNoUse reports whether a run's place could not be given to a higher request:
-// its target leaves, or it may not be repeated and so is never cut.
-func (w *world) ofNoUse(id string) bool {
+// notReusable reports whether a run's slot could not be given to a higher
+// request: its target is leaving, or the run may not be repeated and so is
+// never preempted.
+func (w *world) notReusable(id string) bool {
 	for _, c := range w.calls {
 		if c.seen.ID == id && !c.seen.Idempotent {
 			return true
@@ -366,8 +376,8 @@
 	return false
 }
 
-// ruleOfLog is the version that a reader of the whole log has in force.
-func ruleOfLog(log []logRecord) int64 {
+// versionByLog returns the version in force for a reader of the complete log.
+func versionByLog(log []logRecord) int64 {
 	var version int64
 	for i, r := range log {
 		rec, err := record.Decode(r.data)
