--- a/internal/core/entry/node_test.go
+++ b/internal/core/entry/node_test.go
@@ -45,14 +45,14 @@
 	busy, ended bool
 }
 
-func (w *world) startNode(place int) {
+func (w *world) startNode(index int) {
 	inc := ident.NewIncarnation(w.random.Uint64(), int64(len(w.events)))
-	n := &node{world: w, index: place, self: memberOf(place, inc), up: true, flights: map[ident.RequestID]*edge{}, follows: map[record.Stream]*reader{}}
+	n := &node{world: w, index: index, self: memberOf(index, inc), up: true, flights: map[ident.RequestID]*edge{}, follows: map[record.Stream]*reader{}}
 	n.core = New(Config{Self: n.self, Seed: w.random.Uint64()}, w.now)
 	if w.hook != nil {
 		w.hook(n.core)
 	}
-	w.nodes[place] = n
+	w.nodes[index] = n
 	n.every(tickEvery, func() { n.input(Tick{}) })
 	n.every(probeEvery, n.probe)
 	n.every(listEvery, func() { n.input(InstanceList{Instances: w.list()}) })
@@ -124,7 +124,7 @@
 	w := n.world
 	switch o := out.(type) {
 	case Dispatch:
-		w.target(o.Target).dispatched(n, o)
+		w.target(o.Target).receive(n, o)
 	case CancelRun:
 		n.cancel(o)
 	case Settle:
@@ -149,7 +149,7 @@
 		w.after(time.Millisecond, func() { n.input(OrderDone{Target: o.Target}) })
 	case Publish:
 		if n.view != nil && o.View.Version < n.view.Version {
-			w.violate("version falls", "%s from %d to %d", n.self.Name, n.view.Version, o.View.Version)
+			w.reportViolation("version falls", "%s from %d to %d", n.self.Name, n.view.Version, o.View.Version)
 		}
 		n.view = o.View
 	case Drained:
@@ -166,7 +166,7 @@
 		return // the answer followed for another caller arrived first
 	}
 	if e.open == 0 {
-		n.world.violate("final outcome", "%s got a second one at %s", id, n.self.Name)
+		n.world.reportViolation("final outcome", "%s got a second one at %s", id, n.self.Name)
 	}
 	e.open = 0
 	e.end(status)
@@ -198,8 +198,8 @@
 	e.open = 0
 	waiting := e.waiters
 	e.waiters = nil
-	place, _ := strconv.Atoi(o.Address)
-	holder := n.world.nodes[place]
+	index, _ := strconv.Atoi(o.Address)
+	holder := n.world.nodes[index]
 	for _, c := range waiting {
 		if !holder.up || holder.flights[o.Of] == nil {
 			c.settle(statusLost)
@@ -221,7 +221,7 @@
 func (n *node) cancel(o CancelRun) {
 	e := n.edge(o.ID)
 	if e.run != nil && !e.run.call.seen.Idempotent && o.Status.Reason == outcome.ReasonPreempted {
-		n.world.violate("never preempt a non-repeatable run", "%s", o.ID)
+		n.world.reportViolation("never preempt a non-repeatable run", "%s", o.ID)
 	}
 	e.open = 0
 	e.end(o.Status)
@@ -341,7 +341,7 @@
 			w.after(w.randomBelow(3*time.Millisecond), func() { peer.input(PeerDown{Incarnation: n.self.Incarnation, Refused: true}) })
 		}
 	}
-	w.noteList()
+	w.recordList()
 }
 
 func (n *node) resume() {
@@ -358,7 +358,7 @@
 func (n *node) drained() {
 	for id, e := range n.flights {
 		if e.open > 0 || e.run != nil && e.run.owner == n && !e.run.ended {
-			n.world.violate("drain", "%s exits while %s is in progress", n.self.Name, id)
+			n.world.reportViolation("drain", "%s exits while %s is in progress", n.self.Name, id)
 		}
 	}
 	n.closing = true
--- a/internal/core/entry/outside_test.go
+++ b/internal/core/entry/outside_test.go
@@ -12,8 +12,8 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// target is a fake back end with a ledger, against which the promises are
-// checked.
+// target is a fake back end. Its ledger lists all runs, for checking the
+// promises.
 type target struct {
 	world      *world
 	name, pool string
@@ -44,8 +44,8 @@
 	return w.targets[at]
 }
 
-// dispatched sends a Dispatch to the target.
-func (t *target) dispatched(n *node, o Dispatch) {
+// receive handles a Dispatch, which arrives at the target a little later.
+func (t *target) receive(n *node, o Dispatch) {
 	w := t.world
 	at := slices.IndexFunc(w.calls, func(c *call) bool { return c.id == o.ID })
 	r := &targetRun{target: t, owner: n, call: w.calls[at]}
@@ -65,7 +65,7 @@
 		return
 	}
 	if t.leaving && w.now.Sub(later(t.leavingSince, w.lastResume)) > leavingBound {
-		w.violate("leaving", "%s got %s, and started to leave at %s", t.name, o.ID, t.leavingSince.Sub(w.start))
+		w.reportViolation("leaving", "%s got %s, and started to leave at %s", t.name, o.ID, t.leavingSince.Sub(w.start))
 	}
 	r.ledgerEntry = &report.Run{Target: t.name, Pool: t.pool, ID: string(o.ID), Key: r.call.seen.Key, Began: w.since()}
 	t.ledger = append(t.ledger, r.ledgerEntry)
@@ -205,9 +205,9 @@
 }
 
 // resend sends the same id from another caller, which waits as well.
-func (w *world) resend(of *call, place int) {
+func (w *world) resend(of *call, index int) {
 	c := *of
-	c.entryIndex = place
+	c.entryIndex = index
 	c.seen = report.Call{
 		Line: len(w.calls), ID: of.seen.ID, Key: of.seen.Key, Organisation: of.seen.Organisation, Tier: of.seen.Tier,
 		Pool: of.seen.Pool, Kind: of.seen.Kind, Idempotent: of.seen.Idempotent, Sent: w.since(), Deadline: of.seen.Deadline,
@@ -223,17 +223,17 @@
 	}
 }
 
-// send sends the request to the entry whose turn it is, and to another if that
-// one does not answer.
+// send sends the request to the entry at entryIndex, and to the next one if
+// that entry does not answer.
 func (c *call) send() {
 	w := c.world
 	n := w.nodes[c.entryIndex%entries]
 	c.at = n
-	turn, sent := c.entryIndex, w.now
+	index, sent := c.entryIndex, w.now
 	w.after(c.seen.Deadline+callerWait, func() {
-		if c.entryIndex == turn && !c.seen.Settled {
+		if c.entryIndex == index && !c.seen.Settled {
 			if c.at == n && n.up && !n.paused && n.resumedAt.Before(sent) {
-				w.violate("final outcome", "%s did not settle %s", n.self.Name, c.id)
+				w.reportViolation("final outcome", "%s did not settle %s", n.self.Name, c.id)
 			}
 			c.leave()
 			c.sendToNextEntry()
@@ -241,7 +241,7 @@
 	})
 	if !n.up || n.closing || n.view == nil || n.view.State == message.Starting {
 		w.after(20*time.Millisecond, func() {
-			if c.entryIndex == turn {
+			if c.entryIndex == index {
 				c.sendToNextEntry()
 			}
 		})
--- a/internal/core/entry/schedules_test.go
+++ b/internal/core/entry/schedules_test.go
@@ -152,7 +152,7 @@
 		w.sendAgain(s)
 	case killEntry:
 		if n.up {
-			w.timedFault(s, n.kill, func() { w.startNode(n.index); w.noteList() })
+			w.timedFault(s, n.kill, func() { w.startNode(n.index); w.recordList() })
 		}
 	case pauseEntry:
 		if n.up && !n.paused {
@@ -212,7 +212,7 @@
 	if !t.declares {
 		t.leavingSince = w.now.Add(time.Hour) // until the list shows it; see world.list
 	}
-	w.noteList()
+	w.recordList()
 }
 
 func (w *world) blockLink(s step, a, b int) {
--- a/internal/core/entry/world_test.go
+++ b/internal/core/entry/world_test.go
@@ -113,7 +113,7 @@
 
 func (w *world) since() time.Duration { return w.now.Sub(w.start) }
 
-func (w *world) violate(promise, format string, args ...any) {
+func (w *world) reportViolation(promise, format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%s at %s: %s", promise, w.since(), fmt.Sprintf(format, args...)))
 }
 
@@ -189,7 +189,7 @@
 	for i := range w.nodes {
 		w.startNode(i)
 	}
-	w.noteList()
+	w.recordList()
 	w.until(warmUp)
 	w.start = w.now
 	return w
@@ -206,8 +206,8 @@
 	return encoded
 }
 
-// noteList records what the instance list shows from now on.
-func (w *world) noteList() {
+// recordList records what the instance list shows from now on.
+func (w *world) recordList() {
 	var rows []Instance
 	for _, n := range w.nodes {
 		if n != nil && n.up {
@@ -289,11 +289,11 @@
 func (w *world) check() {
 	for _, n := range w.nodes {
 		if n.up && len(n.core.flights) > 0 {
-			w.violate("final outcome", "%s still holds %d requests", n.self.Name, len(n.core.flights))
+			w.reportViolation("final outcome", "%s still holds %d requests", n.self.Name, len(n.core.flights))
 		}
 	}
 	if !w.converged() {
-		w.violate("convergence", "versions differ")
+		w.reportViolation("convergence", "versions differ")
 	}
 	in := report.Input{Tiers: []string{"top", "mid", "low"}, Tolerance: 12 * time.Millisecond}
 	for _, c := range w.calls {
@@ -313,13 +313,13 @@
 		"not run": r.FalseNotRun,
 	} {
 		if count > 0 {
-			w.violate(name, "%v", r.Violations)
+			w.reportViolation(name, "%v", r.Violations)
 		}
 	}
 	for _, inversion := range r.Violations["tier_inversions"] {
 		id, lower, _ := strings.Cut(inversion, " while ")
 		if !w.wasDisconnected(id) && !w.repeated(id) && !w.notReusable(lower) {
-			w.violate("tiers", "%s", inversion)
+			w.reportViolation("tiers", "%s", inversion)
 		}
 	}
 	slices.Sort(w.violations)
@@ -392,10 +392,10 @@
 	return version
 }
 
-func memberOf(place int, incarnation ident.Incarnation) message.Member {
+func memberOf(index int, incarnation ident.Incarnation) message.Member {
 	return message.Member{
-		Name: fmt.Sprint("entry-", place), Incarnation: incarnation, Zone: fmt.Sprint("z", place%2),
-		PeerAddress: fmt.Sprintf("10.0.0.%d:1", place+1), CallerAddress: fmt.Sprint(place),
+		Name: fmt.Sprint("entry-", index), Incarnation: incarnation, Zone: fmt.Sprint("z", index%2),
+		PeerAddress: fmt.Sprintf("10.0.0.%d:1", index+1), CallerAddress: fmt.Sprint(index),
 	}
 }
 
