--- a/internal/core/dispatch/bench_test.go
+++ b/internal/core/dispatch/bench_test.go
@@ -8,8 +8,9 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// BenchmarkReportUnderOverload is what a peer's report costs an entry of a cell of twelve
-// whose nine targets are full but one, with fifty requests waiting that may not go there.
+// BenchmarkReportUnderOverload measures the cost of a peer's report to an entry of a cell of
+// twelve, with all but one of nine targets full and fifty waiting requests that have already
+// been tried at that one.
 func BenchmarkReportUnderOverload(b *testing.B) {
 	s := dispatch.New(dispatch.Config{Name: "a", Zone: "a"})
 	list := targets(9, 8)
--- a/internal/core/dispatch/cell.go
+++ b/internal/core/dispatch/cell.go
@@ -8,66 +8,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entries and targets are divided into cells. The entries of a cell tell each other
-// each change of their load within milliseconds and send to the targets of their
-// cell first, so what they know of those is exact. Told to all entries of a large
-// fleet, the same news would come too often to be sent at once, and with old news
-// all run to the same idle targets: measured beforehand on 78 entries and 140
-// targets, loads told to all every 300 ms served 55 % of the worth where entries
-// that keep to a few targets each and are told nothing served 98 %.
+// Entries and targets are divided into cells. The entries of a cell report each change
+// of their load to each other within milliseconds and prefer the targets of their cell,
+// so their view of those targets is accurate. In a large fleet, reports to all entries
+// would be too frequent to send at once, and with stale reports all entries send to the
+// same idle targets: with 78 entries and 140 targets, reporting loads to all entries every
+// 300 ms served 55 % of the value, against 98 % for entries that use a few targets each
+// and exchange no reports.
 
 const (
-	// CellEntries is the number of entries of a cell: with a dozen, chance spreads
-	// callers and fast targets evenly enough over cells, and a change costs eleven
-	// datagrams.
+	// CellEntries is the number of entries of a cell. A dozen spreads callers and fast
+	// targets evenly enough over cells, and a change costs eleven datagrams.
 	CellEntries = 12
-	// minCellTargets is the least number of targets for each cell; a service with
-	// fewer is shared by all cells.
+	// minCellTargets is the minimum number of targets per cell; a service with fewer
+	// is shared by all cells.
 	minCellTargets = 3
-	// sharedHeadroom is how far the cells together may fill the targets that they
-	// share without knowing of each other.
-	sharedHeadroom = 1.5
+	// sharedOvercommit is the factor by which all cells together may overcommit the
+	// targets that they share, since cells do not exchange load reports.
+	sharedOvercommit = 1.5
 )
 
-// Cells is the number of cells for a number of entries.
+// Cells returns the number of cells for a number of entries.
 func Cells(entries int) int {
 	return max(1, (entries+CellEntries/2)/CellEntries)
 }
 
-// CellOf is the cell of the place-th of so many entries, in the order of Rank.
-func CellOf(place, entries int) int {
-	return place * Cells(entries) / max(1, entries)
+// CellOf returns the cell of the entry at a position of the list sorted by CompareNames.
+func CellOf(position, entries int) int {
+	return position * Cells(entries) / max(1, entries)
 }
 
-// Rank orders names so that all entries agree and no property of an instance shows.
+// CompareNames orders names by hash, so that all entries agree on an order that does not
+// depend on properties of instances.
 func Rank(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
 
-// Place is the number by which entries and targets are ordered before they are divided
-// into cells: by availability zone, then by name, both in an order in which no property of
-// an instance shows. So cells are of equal size and most of each is in one zone, where
-// bytes cost nothing and arrive sooner.
+// CellKey returns the key by which entries and targets are sorted before they are divided
+// into cells: by availability zone, then by name, both hashed so that the order does not
+// depend on properties of an instance. Cells have equal size and most of each is in one
+// zone, where traffic is free and latency is lower.
 func Place(zone, name string) uint64 {
 	const low = 1<<32 - 1
 	return xxhash.Sum64String(zone)&^low | xxhash.Sum64String(name)&low
 }
 
-// SetCell says which of how many cells this entry belongs to.
+// SetCell sets the index of this entry's cell and the number of cells.
 func (s *Scheduler) SetCell(now time.Time, cell, cells int) Effects {
 	if cell == s.cell && cells == s.cells {
 		return Effects{}
 	}
 	s.cell, s.cells = cell, cells
 	for _, p := range s.pools {
-		p.divide(cell, cells)
+		p.assignCell(cell, cells)
 	}
 	return s.Tick(now)
 }
 
-// divide notes which targets belong to the cell. Targets that leave are left out, so
+// assignCell determines which targets belong to the cell. Leaving targets are excluded, so
 // that the others stay evenly divided.
-func (p *pool) divide(cell, cells int) {
+func (p *pool) assignCell(cell, cells int) {
 	staying := make([]*target, 0, len(p.targets))
 	for _, t := range p.targets {
 		t.inCell = false
@@ -76,7 +76,7 @@
 		}
 	}
 	slices.SortFunc(staying, func(a, b *target) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.incarnation, b.incarnation))
+		return cmp.Or(cmp.Compare(a.cellKey, b.cellKey), cmp.Compare(a.incarnation, b.incarnation))
 	})
 	p.sharing = 1
 	if len(staying) < minCellTargets*cells {
--- a/internal/core/dispatch/dispatch.go
+++ b/internal/core/dispatch/dispatch.go
@@ -1,13 +1,13 @@
 // Package dispatch decides which target runs a request, and when. Targets admit
-// requests as they arrive and know no priorities, so what waits has to wait here:
-// each target gets about as many requests at once as it runs at once, and the
-// queue in front is ordered by importance and by what can still be in time.
+// requests in order of arrival and have no priorities, so requests are queued here:
+// each target receives about as many requests as it runs concurrently, and the
+// queue is ordered by priority and by which requests can still be in time.
 //
-// Entries share the targets. Each tells the others what it has in flight, so the
-// load of a target is the sum over all entries and milliseconds old. Overfilling a
-// target for a moment is harmless, since it queues a few requests itself.
+// Entries share the targets and report their requests in flight to each other. The load
+// of a target is the sum over all entries and is milliseconds old. Overfilling a target
+// briefly is harmless, since it queues a few requests itself.
 //
-// Time is an argument and nothing here waits or does I/O, so every decision can
+// Time is an argument and nothing here blocks or does I/O, so every decision can
 // be replayed. A Scheduler is not safe for concurrent use.
 package dispatch
 
@@ -20,26 +20,26 @@
 	"sycamoretrail/internal/core/catalog"
 )
 
-// Ask is what the scheduler knows of a request.
+// Request describes a request to the scheduler.
 type Ask struct {
 	ID      string
 	Service string
-	// Class groups requests of alike duration, such as those of one route.
+	// Class groups requests of similar duration, such as those of one route.
 	Class string
-	// Priority is the organisation's or, where that has none, the route's; Rank is
-	// the route's and decides among equal priorities. 0 is the highest.
+	// Priority is that of the organisation, or that of the route if the organisation has
+	// none; Rank is that of the route and decides among equal priorities. 0 is the highest.
 	Priority, Rank int
 	Arrived        time.Time
-	// Objective is when the answer, or its first event, should be there for its
-	// full worth; zero: none.
+	// Objective is the time by which the answer, or its first event, should arrive for
+	// its full value; zero means none.
 	Objective time.Time
 	// Expires is when the caller or the route stops waiting, BeginBy when the answer
-	// must have begun for the caller not to leave before that.
+	// must have begun because the caller would otherwise disconnect.
 	Expires, BeginBy time.Time
-	// Gap is the longest pause between events of a stream that is still in time; 0:
-	// none declared.
+	// Gap is the longest acceptable pause between events of a stream; 0 means none
+	// declared.
 	Gap time.Duration
-	// Work is what it asks of a target.
+	// Work is the size of the request as declared by the caller.
 	Work Work
 	// Tried lists the incarnations of targets that this request has been sent to.
 	Tried []string
@@ -48,46 +48,46 @@
 // Ticket is a request between Submit and Done or Cancel.
 type Ticket struct {
 	Ask
-	// sequence keeps arrival order among equals.
+	// sequence preserves the order of arrival among equals.
 	sequence uint64
 	target   *target
 	granted  time.Time
-	// turn is the arrival by which the queue is ordered.
-	turn time.Time
-	// timely is the last moment at which sending it should meet the objective.
-	timely time.Time
+	// queueTime is the adjusted arrival time by which the queue is ordered.
+	queueTime time.Time
+	// latestTimely is the last moment at which sending it should meet the objective.
+	latestTimely time.Time
 	// ahead is the number of prompt tokens that the target had to read before this
-	// one's when it was granted; predicted is the estimated time to its first event.
+	// request's when it was granted; predicted is the estimated time to its first event.
 	ahead     int
 	predicted time.Duration
 }
 
-// Grant tells that a request may be sent to a target now.
+// Grant permits sending a request to a target now.
 type Grant struct {
 	Ticket *Ticket
 	Target catalog.Target
-	// Load is the number of requests at the target as known, this one included.
+	// Load is the known number of requests at the target, including this one.
 	Load int
 	// LoadAge is the age of the oldest peer report in Load.
 	LoadAge time.Duration
 	// Backlog is the number of prompt tokens that the target has to read before this
-	// request's, PredictedFirst the estimated time to its first event; 0: not known.
+	// request's, PredictedFirst the estimated time to its first event; 0 means unknown.
 	Backlog        int
 	PredictedFirst time.Duration
 }
 
-// Reason says why a request was refused.
+// Reason states why a request was refused.
 type Reason string
 
-// The reasons of refusals. In all of them the request has not run.
+// The reasons of refusals. In all cases the request has not run.
 const (
-	// ReasonNoTarget: no target of the service is known that may be used.
+	// ReasonNoTarget means that the service has no usable target.
 	ReasonNoTarget Reason = "no_target"
-	// ReasonOverload: the estimated wait exceeds what is left of its time.
+	// ReasonOverload means that the estimated wait exceeds the remaining time.
 	ReasonOverload Reason = "overload"
-	// ReasonPaused: all targets want to be left alone for longer than it can wait.
+	// ReasonPaused means that all targets requested a pause longer than it can wait.
 	ReasonPaused Reason = "targets_paused"
-	// ReasonExpired: its time ran out in the queue.
+	// ReasonExpired means that its time ran out in the queue.
 	ReasonExpired Reason = "expired_in_queue"
 )
 
@@ -95,59 +95,62 @@
 type Refusal struct {
 	Ticket *Ticket
 	Reason Reason
-	// RetryAfter is when a place is likely; at least MinRetryAfter.
+	// RetryAfter is the time after which a slot is likely; at least MinRetryAfter.
 	RetryAfter time.Duration
-	// Waiting and Wait are the inputs: the queue's length and the estimated wait.
+	// Waiting and Wait are the length of the queue and the estimated wait.
 	Waiting int
 	Wait    time.Duration
 }
 
-// Outcome is what became of a request at a target.
+// Outcome is the outcome of a request at a target.
 type Outcome uint8
 
 const (
-	// Answered: a whole answer came that is not the target's own failure.
+	// Answered means that a complete answer arrived that is not a failure of the target.
 	Answered Outcome = iota
-	// Failed: the target answered with a failure of its own.
+	// Failed means that the target answered with a failure of its own.
 	Failed
-	// Broken: the connection ended or fell silent before the answer was whole.
+	// Broken means that the connection ended or stalled before the answer was complete.
 	Broken
-	// TimedOut: it took the request and did not answer in the time of the try.
+	// TimedOut means that the target accepted the request and did not answer within the
+	// timeout of the attempt.
 	TimedOut
-	// Unreachable: no connection could be made, so nothing was sent.
+	// Unreachable means that no connection could be made, so nothing was sent.
 	Unreachable
-	// Rejected: the target said that it did not run the request.
+	// Rejected means that the target declared that it did not run the request.
 	Rejected
-	// Replaced: another server answers at the target's address.
+	// Replaced means that another server answers at the target's address.
 	Replaced
-	// Abandoned: the caller left or the time ran out; says nothing of the target.
+	// Abandoned means that the caller disconnected or the time ran out; it implies nothing
+	// about the target.
 	Abandoned
 )
 
-// Report is what was seen of a request at a target.
+// Report describes the run of a request at a target.
 type Report struct {
 	Outcome Outcome
 	// Latency is the mean time between events of a stream, or the time to the answer
-	// of another request; 0: not known.
+	// of any other request; 0 means unknown.
 	Latency time.Duration
 	// First is the time to the first event of a stream, Rest the time from there to
-	// the end; 0: not known.
+	// the end; 0 means unknown.
 	First, Rest time.Duration
-	// Longest is the longest pause between two events of a stream.
+	// LongestPause is the longest pause between two events of a stream.
 	Longest time.Duration
 }
 
-// Effects are what a call leads to: requests to send, requests to end, and targets' limits
-// that have changed.
+// Effects are the results of a call: requests to send, requests to refuse, and changes
+// of targets' limits.
 type Effects struct {
 	Grants   []Grant
 	Refusals []Refusal
 	Limits   []LimitChange
 }
 
-// Config holds what a scheduler needs to know of its place.
+// Config identifies the entry of a scheduler.
 type Config struct {
-	// Name is the entry's own, Zone its zone; targets in it are preferred a little.
+	// Name is the name of the entry, Zone its zone; targets in the same zone are
+	// slightly preferred.
 	Name, Zone string
 }
 
@@ -160,29 +163,29 @@
 	peers    map[string]*peerLoad
 	// entries is the number of entries that share the targets, at least 1.
 	entries int
-	// samples are own measurements that the cell has not been told.
+	// samples are own measurements not yet reported to the cell.
 	samples []Sample
-	// cell is this entry's of so many cells; see SetCell.
+	// cell is the index of this entry's cell out of cells; see SetCell.
 	cell, cells int
-	// former holds the words of targets that have left the register.
-	former *bounded.Map[ownWord]
+	// departed holds the declarations of targets that have left the register.
+	departed *bounded.Map[declarations]
 }
 
-// New makes a scheduler without targets.
+// New returns a scheduler without targets.
 func New(config Config) *Scheduler {
 	return &Scheduler{
-		config:  config,
-		pools:   make(map[string]*pool),
-		targets: make(map[string]*target),
-		peers:   make(map[string]*peerLoad),
-		entries: 1,
-		cells:   1,
-		former:  bounded.New[ownWord](maxFormer),
+		config:   config,
+		pools:    make(map[string]*pool),
+		targets:  make(map[string]*target),
+		peers:    make(map[string]*peerLoad),
+		entries:  1,
+		cells:    1,
+		departed: bounded.New[declarations](maxDeparted),
 	}
 }
 
-// SetTargets replaces the known targets. A target that is gone gets nothing new;
-// what runs there is still reported with Done.
+// SetTargets replaces the known targets. A removed target receives no new requests;
+// those that run there are still reported with Done.
 func (s *Scheduler) SetTargets(now time.Time, listed []catalog.Target) Effects {
 	seen := make(map[string]bool, len(listed))
 	for _, each := range listed {
@@ -190,8 +193,8 @@
 		seen[incarnation] = true
 		known, found := s.targets[incarnation]
 		if !found {
-			known = &target{incarnation: incarnation, pool: s.pool(each.Service), place: Place(each.Zone, incarnation)}
-			s.restoreWord(known)
+			known = &target{incarnation: incarnation, pool: s.pool(each.Service), cellKey: Place(each.Zone, incarnation)}
+			s.restoreDeclarations(known)
 			s.targets[incarnation] = known
 			known.pool.targets = append(known.pool.targets, known)
 		}
@@ -205,19 +208,19 @@
 	for id, known := range s.targets {
 		if !seen[id] {
 			delete(s.targets, id)
-			s.keepWord(now, known)
+			s.saveDeclarations(now, known)
 			known.Leaving = true
 			known.pool.remove(known)
 		}
 	}
 	for _, p := range s.pools {
 		slices.SortFunc(p.targets, func(a, b *target) int { return cmp.Compare(a.incarnation, b.incarnation) })
-		p.divide(s.cell, s.cells)
+		p.assignCell(s.cell, s.cells)
 	}
 	return s.Tick(now)
 }
 
-// SetEntries says how many entries share the targets, this one included.
+// SetEntries sets the number of entries that share the targets, including this one.
 func (s *Scheduler) SetEntries(n int) { s.entries = max(1, n) }
 
 func (s *Scheduler) pool(service string) *pool {
@@ -229,12 +232,12 @@
 	return p
 }
 
-// Submit asks for a place. The ticket is granted, refused or queued; in the last
-// case later effects name it.
-func (s *Scheduler) Submit(now time.Time, ask Ask) (*Ticket, Effects) {
+// Submit requests a slot. The ticket is granted, refused or queued; if it is queued,
+// later effects contain its grant or refusal.
+func (s *Scheduler) Submit(now time.Time, request Ask) (*Ticket, Effects) {
 	s.sequence++
-	ticket := &Ticket{Ask: ask, sequence: s.sequence}
-	p := s.pool(ask.Service)
+	ticket := &Ticket{Ask: request, sequence: s.sequence}
+	p := s.pool(request.Service)
 	p.schedule(ticket)
 	if refusal, refused := s.refuseAtOnce(now, p, ticket); refused {
 		return ticket, Effects{Refusals: []Refusal{refusal}}
@@ -243,7 +246,7 @@
 	return ticket, s.advance(now, p)
 }
 
-// Redirect moves what waits for one service's targets to the queue of another's.
+// Redirect moves the waiting requests of one service to the queue of another.
 func (s *Scheduler) Redirect(now time.Time, from, to string) Effects {
 	source, destination := s.pool(from), s.pool(to)
 	if source == destination {
@@ -258,12 +261,12 @@
 	return s.advance(now, destination)
 }
 
-// Cancel takes a request out of the queue; false: it is not in it.
+// Cancel removes a request from the queue and reports whether it was queued.
 func (s *Scheduler) Cancel(ticket *Ticket) bool {
 	return s.pool(ticket.Service).unqueue(ticket)
 }
 
-// Done gives a place back.
+// Done releases the slot of a request.
 func (s *Scheduler) Done(now time.Time, ticket *Ticket, report Report) Effects {
 	if ticket.target == nil {
 		return Effects{}
@@ -274,17 +277,17 @@
 	at.own--
 	at.learn(now, report)
 	if report.Latency > 0 || report.Longest > 0 {
-		s.measured(at, Sample{Target: at.incarnation, Latency: report.Latency, Longest: report.Longest})
+		s.recordSample(at, Sample{Target: at.incarnation, Latency: report.Latency, Longest: report.Longest})
 	}
 	at.pool.learn(ticket, at, now.Sub(ticket.granted), report)
 	at.releasedAt = now
 	return s.advance(now, at.pool)
 }
 
-// Tick ends what waited too long and hands out places that came free elsewhere.
+// Tick refuses requests that have waited too long and grants slots that other entries freed.
 func (s *Scheduler) Tick(now time.Time) Effects { return s.tickAfter(now, 0) }
 
-// tickAfter does so for the queues that have not been looked at for a time.
+// tickAfter does the same for the queues that were last checked at least pause ago.
 func (s *Scheduler) tickAfter(now time.Time, pause time.Duration) Effects {
 	var all Effects
 	for _, p := range s.pools {
@@ -297,7 +300,7 @@
 	return all
 }
 
-// Waiting is the number of requests in all queues.
+// Waiting returns the number of requests in all queues.
 func (s *Scheduler) Waiting() int {
 	n := 0
 	for _, p := range s.pools {
@@ -306,7 +309,8 @@
 	return n
 }
 
-// advance refuses what can no longer be answered and grants what there is room for.
+// advance refuses requests that can no longer be answered and grants others as far as
+// there are free slots.
 func (s *Scheduler) advance(now time.Time, p *pool) Effects {
 	var effects Effects
 	p.advancedAt = now
@@ -315,7 +319,7 @@
 	if len(p.waiting) == 0 {
 		return effects
 	}
-	s.survey(now, p)
+	s.updateSnapshots(now, p)
 	for i := 0; i < len(p.waiting) && p.anyFree(); {
 		ticket := p.waiting[i]
 		chosen := s.choose(now, p, ticket)
@@ -333,13 +337,13 @@
 	ticket.target = at
 	ticket.granted = now
 	if ticket.late(now) {
-		at.pool.lateFate.note(now, true)
+		at.pool.lateRequests.record(now, true)
 	}
 	at.beginReading(ticket)
 	at.own++
 	at.limited.sent++
 	s.takeTokens(now, at, 1)
-	s.took(now, at, ticket)
+	s.addGranted(now, at, ticket)
 	load, age := s.load(now, at)
 	return Grant{Ticket: ticket, Target: at.Target, Load: load, LoadAge: age, Backlog: ticket.ahead, PredictedFirst: ticket.predicted}
 }
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-// waiting is what an entry tells that has requests like those of ask in its queue.
+// waiting is the report of an entry whose queue contains requests like those of ask.
 var waiting = map[string]dispatch.Urgency{service: dispatch.UrgencyOf(0, 0)}
 
 func ask(id string) dispatch.Ask {
@@ -50,9 +50,9 @@
 	g.Expect(effects.Grants[0].Ticket).To(Equal(third))
 }
 
-// A target is full of another entry's requests. Sent there all the same, a request
-// would wait in the target's own queue, behind whatever comes, without any choice.
-func TestLoadOfPeersCounts(t *testing.T) {
+// A target is full of another entry's requests. A request sent there would wait in the
+// target's own queue, which ignores priorities.
+func TestPeerLoadIsIncluded(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 2))
 	s.PeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 2}})
@@ -62,9 +62,9 @@
 	g.Expect(effects.Grants).To(HaveLen(1))
 }
 
-// An entry dies with requests at the targets. Its last report must not hold their
-// places for good.
-func TestReportOfSilentPeerLapses(t *testing.T) {
+// An entry crashes with requests at the targets. Its last report must not occupy their
+// slots forever.
+func TestReportOfUnresponsivePeerExpires(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
 	s.PeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 1}})
@@ -75,7 +75,7 @@
 	g.Expect(s.Tick(start.Add(3500 * time.Millisecond)).Grants).To(HaveLen(1))
 }
 
-func TestLeavingTargetGetsNothing(t *testing.T) {
+func TestLeavingTargetGetsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	list := targets(2, 1)
 	s := newScheduler(list)
@@ -88,7 +88,7 @@
 	g.Expect(effects.Grants).To(BeEmpty())
 }
 
-func TestQueueGoesByPriorityThenRank(t *testing.T) {
+func TestQueueIsOrderedByPriorityThenRank(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
 	running, _ := s.Submit(start, ask("running"))
@@ -113,8 +113,8 @@
 }
 
 // A short overload has made one request late; another can still be in time. The late
-// one has lost most of its worth, so the timely one goes first.
-func TestTimelyGoesBeforeLate(t *testing.T) {
+// one has lost most of its value, so the timely one goes first.
+func TestTimelyRequestGoesBeforeLateOne(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
 	running, _ := s.Submit(start, ask("running"))
@@ -127,8 +127,8 @@
 	g.Expect(effects.Grants[0].Ticket.ID).To(Equal("timely"))
 }
 
-// A request that waits too long is refused while its caller can still come back, and
-// it is out of the queue then: a place that comes free must not go to it.
+// A request that waits too long is refused while its caller can still retry, and is
+// removed from the queue: a slot freed later must not go to it.
 func TestExpiredInQueueIsRefusedAndNeverSent(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
@@ -143,15 +143,15 @@
 	g.Expect(s.Cancel(waiting)).To(BeFalse())
 }
 
-func TestNoTargetIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutTargetIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	_, effects := newScheduler(nil).Submit(start, ask("1"))
 	g.Expect(effects.Refusals).To(HaveLen(1))
 	g.Expect(effects.Refusals[0].Reason).To(Equal(dispatch.ReasonNoTarget))
 }
 
-// A target's connections break. It gets nothing for a while, then is tried again.
-func TestBrokenTargetIsShunnedForAWhile(t *testing.T) {
+// A target's connections break. It receives nothing for a while, then is tried again.
+func TestBrokenTargetIsEjectedTemporarily(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(2, 4))
 	ticket, effects := s.Submit(start, ask("1"))
@@ -195,7 +195,7 @@
 }
 
 // A service has too few targets for each cell to have its own. All cells use all of
-// them, each only for its part.
+// them, each for its share of the slots.
 func TestFewTargetsAreSharedByAllCells(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(5, 6))
@@ -213,10 +213,11 @@
 	}
 }
 
-// A cell of four entries has requests waiting for a full target. A fifth entry's
-// request ends and it has nothing to send there. All four hear of the free place at
-// once; each takes its turn and hears of the one that took it, so one request goes.
-func TestFreePlaceIsTakenOnce(t *testing.T) {
+// Four entries of a cell have requests waiting for a full target. A fifth entry's
+// request ends and it has nothing to send there. All four receive the report of the free
+// slot at the same time; they take turns and receive the report of the entry that took it,
+// so only one request is sent.
+func TestFreeSlotIsTakenOnce(t *testing.T) {
 	g := NewWithT(t)
 	const entries = 4
 	names := []string{"a", "b", "c", "d"}
@@ -236,19 +237,19 @@
 			g.Expect(effects.Grants).To(BeEmpty())
 		}
 	}
-	const report = 5 * time.Millisecond // the way of a report to the others
+	const report = 5 * time.Millisecond // delay of a report to the others
 	taken := 0
-	heard := make(map[string]time.Time)
+	reportedAt := make(map[string]time.Time)
 	for now := start.Add(time.Millisecond); now.Before(start.Add(100 * time.Millisecond)); now = now.Add(time.Millisecond) {
 		for i, s := range cell {
-			for name, at := range heard {
+			for name, at := range reportedAt {
 				if name != names[i] && !now.Before(at) {
 					s.PeerLoad(now, name, full)
 				}
 			}
 			if grants := s.PeerLoad(now, "fifth", dispatch.Load{}).Grants; len(grants) > 0 {
 				taken += len(grants)
-				heard[names[i]] = now.Add(report)
+				reportedAt[names[i]] = now.Add(report)
 			}
 		}
 	}
@@ -256,8 +257,8 @@
 }
 
 // An entry's own request ends while others wait for the target too. It sends its next
-// one at once: waiting for a turn would leave the place empty.
-func TestOwnFreedPlaceIsTakenAtOnce(t *testing.T) {
+// one at once: waiting for a turn would leave the slot idle.
+func TestOwnFreedSlotIsTakenAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := dispatch.New(dispatch.Config{Name: "a", Zone: "a"})
 	s.SetTargets(start, targets(1, 1))
@@ -271,10 +272,10 @@
 	g.Expect(s.Done(start.Add(200*time.Millisecond), first, dispatch.Report{Outcome: dispatch.Answered}).Grants).To(HaveLen(1))
 }
 
-// An entry has a place that it releasedAt itself, and a short answer to send there, while a
-// neighbour has a more urgent request waiting. The neighbour goes first; the place is not
-// kept for it longer than a report takes there and back.
-func TestFreedPlaceGoesToMoreUrgentOfNeighbour(t *testing.T) {
+// An entry has released a slot and has a short request to send there, while a peer
+// has a more urgent request waiting. The peer goes first; the slot is not held for it
+// longer than a report takes there and back.
+func TestFreedSlotGoesToMoreUrgentPeerRequest(t *testing.T) {
 	g := NewWithT(t)
 	s := dispatch.New(dispatch.Config{Name: "a", Zone: "a"})
 	s.SetTargets(start, targets(1, 1))
@@ -289,8 +290,8 @@
 	g.Expect(s.Tick(releasedAt.Add(20 * time.Millisecond)).Grants).To(HaveLen(1))
 }
 
-// Late requests wait behind timely ones and hardly any gets a place. While that is so,
-// one that becomes late is refused at once; with a place free again, late ones are served.
+// Late requests wait behind timely ones and hardly any gets a slot. Meanwhile, a request
+// that becomes late is refused at once; once a slot is free again, late ones are served.
 func TestLateRequestsAreShedWhileHardlyAnyIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
@@ -303,13 +304,13 @@
 	for i := range 5 {
 		s.Submit(start, late(fmt.Sprint(i), start))
 	}
-	g.Expect(s.Tick(start.Add(1900*time.Millisecond)).Refusals).To(HaveLen(5), "held for the time in which a place may come free")
+	g.Expect(s.Tick(start.Add(1900*time.Millisecond)).Refusals).To(HaveLen(5), "held while a slot may become free")
 	again := start.Add(1900 * time.Millisecond)
 	s.Submit(again, late("again", again))
 	g.Expect(s.Tick(again.Add(50*time.Millisecond)).Refusals).To(BeEmpty(), "it can still be in time")
 	g.Expect(s.Tick(again.Add(450 * time.Millisecond)).Refusals).To(HaveLen(1))
 	later := again.Add(3 * time.Second)
 	s.Submit(later, late("later", later))
-	g.Expect(s.Tick(later.Add(600*time.Millisecond)).Refusals).To(BeEmpty(), "what became of late ones before does not count any more")
+	g.Expect(s.Tick(later.Add(600*time.Millisecond)).Refusals).To(BeEmpty(), "earlier late requests no longer count")
 	g.Expect(s.Done(later.Add(700*time.Millisecond), first, dispatch.Report{Outcome: dispatch.Answered}).Grants).To(HaveLen(1))
 }
--- a/internal/core/dispatch/fleet_test.go
+++ b/internal/core/dispatch/fleet_test.go
@@ -12,21 +12,21 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// The load of a surplus exchange, scaled to one cell: three kinds of streams over nine
-// engines of three speeds (1 : 1.8 : 5), and several entries that share the engines. An
-// engine runs eight streams and reads prompts in chunks between the steps in which it
-// generates a token for each. Sizes are heavy-tailed, as callers' documents are.
+// Simulated load of one cell: three kinds of streams over nine engines of three speeds
+// (1 : 1.8 : 5), and several entries that share the engines. An engine runs eight streams
+// and reads prompts in chunks between the steps in which it generates a token for each.
+// Sizes are heavy-tailed, as those of callers' documents are.
 
 const (
-	entriesOfFleet = 9
-	placesOfEngine = 8
-	// An engine of speed 1 takes stepBase and stepEach for each stream to generate a
-	// token of all, and reads tokensPerMS; it reads at most chunk tokens in a step.
+	fleetEntries = 9
+	engineSlots  = 8
+	// An engine of speed 1 takes stepBase plus stepEach per stream to generate a token
+	// for all streams, and reads tokensPerMS; it reads at most chunk tokens in a step.
 	stepBase    = 3.1
 	stepEach    = 0.1
 	tokensPerMS = 57.0
 	chunk       = 2048
-	// tokensPerEvent is the number of tokens that an event of a stream holds.
+	// tokensPerEvent is the number of tokens in an event of a stream.
 	tokensPerEvent = 5
 	// reportDelay is the age of reports when they reach the other entries.
 	reportDelay = 12 * time.Millisecond
@@ -40,16 +40,16 @@
 	prompt, output float64
 	spread         float64
 	objective      time.Duration
-	patience       time.Duration
+	timeout        time.Duration
 }
 
-var surplus = []kind{
-	{rank: 0, perSecond: 16, prompt: 6600, output: 380, spread: 1.4, objective: 800 * time.Millisecond, patience: 15 * time.Second},
-	{rank: 1, perSecond: 15, prompt: 630, output: 290, spread: 1, objective: 400 * time.Millisecond, patience: 12 * time.Second},
-	{rank: 2, perSecond: 21, prompt: 1800, output: 22, spread: 1.3, objective: 500 * time.Millisecond, patience: 3 * time.Second},
+var streamKinds = []kind{
+	{rank: 0, perSecond: 16, prompt: 6600, output: 380, spread: 1.4, objective: 800 * time.Millisecond, timeout: 15 * time.Second},
+	{rank: 1, perSecond: 15, prompt: 630, output: 290, spread: 1, objective: 400 * time.Millisecond, timeout: 12 * time.Second},
+	{rank: 2, perSecond: 21, prompt: 1800, output: 22, spread: 1.3, objective: 500 * time.Millisecond, timeout: 3 * time.Second},
 }
 
-// stream is one request and what became of it.
+// stream is one request and its progress.
 type stream struct {
 	kind    kind
 	entry   *fleetEntry
@@ -82,8 +82,8 @@
 	streams map[*dispatch.Ticket]*stream
 }
 
-// fleet plays entries and engines on a virtual clock. omit takes parts out of the
-// reports between entries, to show what they are worth.
+// fleet simulates entries and engines on a virtual clock. omit removes parts of the
+// reports between entries, to measure their effect.
 type fleet struct {
 	now     time.Time
 	pending events
@@ -92,21 +92,21 @@
 	entries []*fleetEntry
 	all     []*stream
 	omit    func(*dispatch.Load)
-	// ungapped: entries are not told how long a pause may be.
-	ungapped bool
+	// ignoreGap means that entries do not receive the longest acceptable pause.
+	ignoreGap bool
 }
 
 func newFleet(seed uint64) *fleet {
 	f := &fleet{now: start, random: rand.New(rand.NewPCG(seed, 3)), engines: make(map[string]*fleetEngine), omit: func(*dispatch.Load) {}}
-	list := targets(9, placesOfEngine)
+	list := targets(9, engineSlots)
 	for i, target := range list {
 		f.engines[target.ID] = &fleetEngine{Target: target, factor: []float64{0.55, 1, 2.8}[i%3]}
 	}
-	for i := range entriesOfFleet {
+	for i := range fleetEntries {
 		e := &fleetEntry{name: fmt.Sprintf("e-%d", i), streams: make(map[*dispatch.Ticket]*stream)}
 		e.sched = dispatch.New(dispatch.Config{Name: e.name, Zone: "a"})
 		e.sched.SetTargets(start, list)
-		e.sched.SetEntries(entriesOfFleet)
+		e.sched.SetEntries(fleetEntries)
 		f.entries = append(f.entries, e)
 	}
 	return f
@@ -116,9 +116,9 @@
 	heap.Push(&f.pending, event{f.now.Add(pause), do})
 }
 
-// play offers each kind for a time, at rates that factor multiplies.
-func (f *fleet) play(length time.Duration, factor func(at time.Duration) float64) {
-	for _, k := range surplus {
+// run generates requests of each kind for a time, at rates multiplied by factor.
+func (f *fleet) run(length time.Duration, factor func(at time.Duration) float64) {
+	for _, k := range streamKinds {
 		f.offer(k, length, factor)
 	}
 	f.tick(length + 10*time.Second)
@@ -141,7 +141,7 @@
 	})
 }
 
-// size draws from a log-normal distribution with a mean.
+// size draws from a log-normal distribution with the given mean.
 func (f *fleet) size(mean, spread float64) int {
 	return 1 + int(min(8*mean, mean*math.Exp(spread*f.random.NormFloat64()-spread*spread/2)))
 }
@@ -152,10 +152,10 @@
 	f.all = append(f.all, s)
 	ask := dispatch.Ask{
 		ID: fmt.Sprint(len(f.all)), Service: service, Class: fmt.Sprint(k.rank), Rank: k.rank, Arrived: f.now,
-		Objective: f.now.Add(k.objective), BeginBy: f.now.Add(3200 * time.Millisecond), Expires: f.now.Add(k.patience),
+		Objective: f.now.Add(k.objective), BeginBy: f.now.Add(3200 * time.Millisecond), Expires: f.now.Add(k.timeout),
 		Gap: pauseLimit, Work: dispatch.Work{Prompt: s.unread, Output: int(float64(s.left) * math.Exp(0.5*f.random.NormFloat64()))},
 	}
-	if f.ungapped {
+	if f.ignoreGap {
 		ask.Gap = 0
 	}
 	ticket, effects := e.sched.Submit(f.now, ask)
@@ -170,11 +170,11 @@
 		s := e.streams[grant.Ticket]
 		s.at = f.engines[grant.Target.ID]
 		s.at.queue = append(s.at.queue, s)
-		f.wake(s.at)
+		f.step(s.at)
 	}
 }
 
-// report tells the others what changed, some milliseconds later.
+// report sends an entry's load to the others after reportDelay.
 func (f *fleet) report(e *fleetEntry) {
 	load := e.sched.OwnLoad(f.now)
 	f.omit(&load)
@@ -196,9 +196,9 @@
 	}
 }
 
-// wake lets an engine take its next step.
-func (f *fleet) wake(at *fleetEngine) {
-	for len(at.running) < placesOfEngine && len(at.queue) > 0 {
+// step runs the next step of an engine.
+func (f *fleet) step(at *fleetEngine) {
+	for len(at.running) < engineSlots && len(at.queue) > 0 {
 		at.running = append(at.running, at.queue[0])
 		at.queue = at.queue[1:]
 	}
@@ -223,11 +223,11 @@
 		for _, s := range generating {
 			f.generate(s)
 		}
-		f.wake(at)
+		f.step(at)
 	})
 }
 
-// generate adds a token to a stream, and an event with every few.
+// generate adds a token to a stream, and an event after every tokensPerEvent tokens.
 func (f *fleet) generate(s *stream) {
 	s.generated++
 	s.left--
@@ -256,7 +256,7 @@
 	f.report(s.entry)
 }
 
-// timely is the share of streams of a rank that arrived in a span and were in time.
+// timely returns the share of streams of a rank that arrived in a period and were in time.
 func (f *fleet) timely(rank int, from, until time.Duration) float64 {
 	in, all := 0, 0
 	for _, s := range f.all {
--- a/internal/core/dispatch/former.go
+++ b/internal/core/dispatch/former.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// maxFormer bounds what is kept of targets that are gone.
-const maxFormer = 1024
+// maxDeparted is the maximum number of departed targets whose declarations are kept.
+const maxDeparted = 1024
 
-// ownWord is what a target has said of itself in answers and still holds. It is kept when the
-// target leaves the register: the entry of one that lives may lapse, while the store is
-// away, and come back.
-type ownWord struct {
+// declarations are what a target has declared in answers and is still in force. They are
+// kept when the target leaves the register: the registration of a running target may
+// expire during an outage of the store and be renewed later.
+type declarations struct {
 	limited     declaredLimit
 	pausedUntil time.Time
 }
 
-// keepWord keeps the word of a target that leaves the register.
-func (s *Scheduler) keepWord(now time.Time, t *target) {
+// saveDeclarations saves the declarations of a target that leaves the register.
+func (s *Scheduler) saveDeclarations(now time.Time, t *target) {
 	if t.limited.Declared || t.paused(now) {
-		s.former.Put(t.incarnation, ownWord{limited: t.limited, pausedUntil: t.pausedUntil})
+		s.departed.Put(t.incarnation, declarations{limited: t.limited, pausedUntil: t.pausedUntil})
 	}
 }
 
-// restoreWord gives a target the word that it had before.
-func (s *Scheduler) restoreWord(t *target) {
-	word := s.former.Get(t.incarnation)
-	t.limited, t.pausedUntil = word.limited, word.pausedUntil
+// restoreDeclarations restores the declarations saved for a target.
+func (s *Scheduler) restoreDeclarations(t *target) {
+	saved := s.departed.Get(t.incarnation)
+	t.limited, t.pausedUntil = saved.limited, saved.pausedUntil
 }
--- a/internal/core/dispatch/limit.go
+++ b/internal/core/dispatch/limit.go
@@ -3,57 +3,57 @@
 import "time"
 
 const (
-	// limitRelief is how long a target gets nothing after it has begun to declare a limit: by
-	// then it has got more than it can take.
-	limitRelief = time.Second
-	// limitBurst is the time whose requests may come at once.
+	// initialLimitPause is how long a target receives nothing after it has begun to declare
+	// a limit: by then it has received more than it can handle.
+	initialLimitPause = time.Second
+	// limitBurst is the period whose requests may be sent at once.
 	limitBurst = 250 * time.Millisecond
-	// limitStep is how much later each entry of a cell may take the room that a limit leaves:
-	// about as long as a report takes.
-	limitStep = 2 * precedenceStep
-	// limitDebt is the time whose requests may be owed, when entries have sent without
-	// knowing of each other.
-	limitDebt = 4 * time.Second
-	// minLimit is the least rate, in requests a second: only an answer shows that the
-	// target's need is over.
+	// limitTurnDelay is the delay between two entries of a cell for using the capacity under
+	// a limit: about as long as a report takes.
+	limitTurnDelay = 2 * turnDelay
+	// maxLimitDebt is the period whose requests may be overdrawn when entries have sent
+	// before they received each other's reports.
+	maxLimitDebt = 4 * time.Second
+	// minLimit is the minimum rate, in requests a second: only an answer shows that the
+	// target no longer needs a limit.
 	minLimit = 0.2
 )
 
-// Limit is the rate of requests that a target takes from all entries together, as it
-// declares in its answers for as long as it is in need.
+// Limit is the rate of requests that a target accepts from all entries together. The
+// target declares it in its answers for as long as it needs it.
 type Limit struct {
 	Declared  bool
 	PerSecond float64
 }
 
-// LimitChange tells of a limit that began, changed or ended.
+// LimitChange describes a limit that began, changed or ended.
 type LimitChange struct {
 	Target      string
 	Before, Now Limit
-	// Peer is the entry that told of it; empty: an answer to this entry.
+	// Peer is the entry that reported it; empty for an answer to this entry.
 	Peer string
-	// Sent is the number of requests that this entry has sent since the limit began, For how
-	// long that has been; 0 where it begins.
+	// Sent is the number of requests that this entry has sent since the limit began, For
+	// the time since then; both are 0 when it begins.
 	Sent int
 	For  time.Duration
 }
 
-// declaredLimit is a target's limit as last declared, with a token bucket that all entries
-// of the cell draw on: each takes its own requests, and those that the others report.
+// declaredLimit is a target's limit as last declared, with a token bucket shared by the
+// entries of the cell: each entry subtracts its own requests and those that others report.
 type declaredLimit struct {
 	Limit
-	// answered is when the answer came that declares it, or its end.
+	// answered is when the answer arrived that declares the limit or its end.
 	answered time.Time
-	// since is when it began or ended, zero where there was none; sent is the number of this
-	// entry's requests since it began.
+	// since is when the limit began or ended, zero if there was none; sent is the number of
+	// this entry's requests since it began.
 	since time.Time
 	sent  int
-	// tokens is the number of requests that may be sent, as of filled; negative: owed.
+	// tokens is the number of requests that may be sent, as of filled; negative if overdrawn.
 	tokens float64
 	filled time.Time
 }
 
-// ObserveLimit takes the limit that an answer declares; one that declares none ends it.
+// ObserveLimit applies the limit that an answer declares; an answer without a limit ends it.
 func (s *Scheduler) ObserveLimit(now time.Time, ticket *Ticket, limit Limit) Effects {
 	at := ticket.target
 	if at == nil {
@@ -68,89 +68,90 @@
 	return effects
 }
 
-// setLimit takes the limit that an answer of some moment declares; false: nothing changes.
+// setLimit applies the limit declared by an answer that arrived at the given time, and
+// reports whether it changed.
 func (s *Scheduler) setLimit(now time.Time, t *target, limit Limit, answered time.Time) (LimitChange, bool) {
-	known := &t.limited
-	if answered.Before(known.answered) {
+	declared := &t.limited
+	if answered.Before(declared.answered) {
 		return LimitChange{}, false
 	}
-	known.answered = answered
-	if limit == known.Limit {
+	declared.answered = answered
+	if limit == declared.Limit {
 		return LimitChange{}, false
 	}
-	change := LimitChange{Target: t.ID, Before: known.Limit, Now: limit}
-	if known.Declared {
-		change.Sent, change.For = known.sent, now.Sub(known.since)
+	change := LimitChange{Target: t.ID, Before: declared.Limit, Now: limit}
+	if declared.Declared {
+		change.Sent, change.For = declared.sent, now.Sub(declared.since)
 	} else {
-		known.sent = 0
-		known.filled, known.tokens = now, s.firstTokens(t, limit)
+		declared.sent = 0
+		declared.filled, declared.tokens = now, s.initialTokens(t, limit)
 	}
-	if known.Declared != limit.Declared {
-		known.since = now
+	if declared.Declared != limit.Declared {
+		declared.since = now
 	}
-	known.Limit = limit
+	declared.Limit = limit
 	return change, true
 }
 
-// firstTokens is what the bucket holds when a limit begins. Cells that share the target
-// don't hear each other, so they begin at different times.
-func (s *Scheduler) firstTokens(t *target, limit Limit) float64 {
-	tokens := -limit.rate(t.pool.sharing) * limitRelief.Seconds()
+// initialTokens returns the content of the bucket when a limit begins. Cells that share the
+// target do not receive each other's reports, so they begin at different times.
+func (s *Scheduler) initialTokens(t *target, limit Limit) float64 {
+	tokens := -limit.rate(t.pool.sharing) * initialLimitPause.Seconds()
 	if t.pool.sharing > 1 {
 		tokens -= float64(s.cell) / float64(s.cells)
 	}
 	return tokens
 }
 
-// rate is the part of the limit that one of so many cells may use, in requests a second.
+// rate returns the part of the limit that one of sharing cells may use, in requests a second.
 func (l Limit) rate(sharing int) float64 {
 	return max(minLimit, l.PerSecond) / float64(max(1, sharing))
 }
 
-// mayGet reports whether the target's limit has room for a request of this entry. A request
-// takes no place of the cell's until the others hear of it, so each entry wants a little more
-// room than the one before it, in an order that turns with each request.
-func (s *Scheduler) mayGet(now time.Time, t *target) bool {
+// withinLimit reports whether the target's limit admits a request of this entry. The others
+// of the cell subtract a request only when it is reported, so each entry requires slightly
+// more tokens than the one before it, in an order that rotates with each request.
+func (s *Scheduler) withinLimit(now time.Time, t *target) bool {
 	if !t.limited.Declared {
 		return true
 	}
-	s.fillTokens(now, t)
-	wanted := 1 + t.limited.rate(t.pool.sharing)*float64(s.limitTurn(now, t))*limitStep.Seconds()
-	return t.limited.tokens >= wanted
+	s.refillTokens(now, t)
+	needed := 1 + t.limited.rate(t.pool.sharing)*float64(s.limitTurn(now, t))*limitTurnDelay.Seconds()
+	return t.limited.tokens >= needed
 }
 
-// limitTurn is the number of entries of the cell whose turn comes before this one's.
+// limitTurn returns the number of entries of the cell whose turn is before this one's.
 func (s *Scheduler) limitTurn(now time.Time, t *target) int {
 	entries, before, sent := 1, 0, t.limited.sent
 	for name, peer := range s.peers {
 		sent += peer.sentUnderLimit[t.incarnation]
-		if now.Sub(peer.at) > reportLife {
+		if now.Sub(peer.at) > reportTTL {
 			continue
 		}
 		entries++
-		if s.before(name, t) {
+		if s.precedes(name, t) {
 			before++
 		}
 	}
 	return (before + sent) % entries
 }
 
-// fillTokens brings the bucket up to date.
-func (s *Scheduler) fillTokens(now time.Time, t *target) {
-	known := &t.limited
-	rate := known.rate(t.pool.sharing)
-	elapsed := max(0, now.Sub(known.filled))
-	known.filled = now
-	most := limitBurst + time.Duration(len(s.peers))*limitStep
-	known.tokens = min(known.tokens+rate*elapsed.Seconds(), 1+rate*most.Seconds())
+// refillTokens refills the bucket for the time elapsed.
+func (s *Scheduler) refillTokens(now time.Time, t *target) {
+	declared := &t.limited
+	rate := declared.rate(t.pool.sharing)
+	elapsed := max(0, now.Sub(declared.filled))
+	declared.filled = now
+	most := limitBurst + time.Duration(len(s.peers))*limitTurnDelay
+	declared.tokens = min(declared.tokens+rate*elapsed.Seconds(), 1+rate*most.Seconds())
 }
 
-// takeTokens counts requests that were sent to the target.
+// takeTokens subtracts requests sent to the target.
 func (s *Scheduler) takeTokens(now time.Time, t *target, n int) {
 	if !t.limited.Declared {
 		return
 	}
-	s.fillTokens(now, t)
-	owed := max(1, t.limited.rate(t.pool.sharing)*limitDebt.Seconds())
-	t.limited.tokens = max(t.limited.tokens-float64(n), -owed)
+	s.refillTokens(now, t)
+	debt := max(1, t.limited.rate(t.pool.sharing)*maxLimitDebt.Seconds())
+	t.limited.tokens = max(t.limited.tokens-float64(n), -debt)
 }
--- a/internal/core/dispatch/limit_fleet_test.go
+++ b/internal/core/dispatch/limit_fleet_test.go
@@ -13,21 +13,21 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// limitedFleet plays entries before targets of one service, some of which declare a limit
-// from limitFrom to limitUntil, on a virtual clock.
+// limitedFleet simulates entries and the targets of one service, some of which declare a
+// limit from limitFrom to limitUntil, on a virtual clock.
 type limitedFleet struct {
 	entries, targets, slots int
-	// perSecond is the number of requests a second over all entries, hold how long a
-	// target works on one.
+	// perSecond is the number of requests a second over all entries, hold the time for
+	// which a target works on one.
 	perSecond float64
 	hold      time.Duration
-	// limited targets declare limit.
+	// limited is the number of targets that declare limit.
 	limited int
 	limit   float64
-	// grace is the time from the first declaration until the limit binds; all requests of a
-	// window that ends later count.
+	// grace is the time from the first declaration until the limit binds: windows that end
+	// later are checked completely.
 	grace time.Duration
-	// loss is the part of reports between entries that is lost.
+	// loss is the share of reports between entries that is lost.
 	loss float64
 	seed uint64
 }
@@ -35,30 +35,30 @@
 const (
 	limitFrom  = 3 * time.Second
 	limitUntil = 15 * time.Second
-	limitedDay = 20 * time.Second
+	runLength  = 20 * time.Second
 	// A limit binds the requests of any limitWindow.
 	limitWindow = 4 * time.Second
 )
 
-// limitedRun is what came of a day.
+// limitedRun is the state of a simulation.
 type limitedRun struct {
 	fleet   limitedFleet
 	random  *rand.Rand
 	now     time.Time
 	pending events
 	sched   []*dispatch.Scheduler
-	// changed: the entry's load has changed since it was told, at toldAt.
-	changed  []bool
-	toldAt   []time.Time
-	arrivals map[string][]time.Duration
-	// due is the number of requests that came early enough to be answered within the day,
-	// answered how long each of those took, in order once sorted.
+	// changed means that the entry's load has changed since its last report, at reportedAt.
+	changed    []bool
+	reportedAt []time.Time
+	arrivals   map[string][]time.Duration
+	// due is the number of requests that arrived early enough to be answered within the
+	// run, answered the time that each of those took, sorted by share.
 	due      int
 	answered []time.Duration
 	sent     int
 }
 
-func (f limitedFleet) play() *limitedRun {
+func (f limitedFleet) run() *limitedRun {
 	r := &limitedRun{fleet: f, random: rand.New(rand.NewPCG(f.seed, 7)), now: start, arrivals: make(map[string][]time.Duration)}
 	list := targets(f.targets, f.slots)
 	cells := dispatch.Cells(f.entries)
@@ -68,13 +68,13 @@
 		s.SetEntries(f.entries)
 		s.SetCell(start, dispatch.CellOf(i, f.entries), cells)
 		r.sched = append(r.sched, s)
-		r.changed, r.toldAt = append(r.changed, false), append(r.toldAt, start)
+		r.changed, r.reportedAt = append(r.changed, false), append(r.reportedAt, start)
 		r.arrive(i)
 		r.report(i)
 	}
 	for len(r.pending) > 0 {
 		e := heap.Pop(&r.pending).(event)
-		if e.at.Sub(start) > limitedDay {
+		if e.at.Sub(start) > runLength {
 			break
 		}
 		r.now = e.at
@@ -87,7 +87,7 @@
 	heap.Push(&r.pending, event{at: r.now.Add(pause), do: do})
 }
 
-// arrive brings requests to an entry.
+// arrive generates requests at an entry.
 func (r *limitedRun) arrive(i int) {
 	mean := float64(time.Second) * float64(r.fleet.entries) / r.fleet.perSecond
 	r.after(time.Duration(r.random.ExpFloat64()*mean), func() {
@@ -99,12 +99,12 @@
 			ID: fmt.Sprint("r", r.sent), Service: service, Class: "c", Arrived: r.now,
 			Objective: r.now.Add(800 * time.Millisecond), Expires: r.now.Add(4 * time.Second),
 		})
-		r.take(i, effects)
+		r.apply(i, effects)
 		r.arrive(i)
 	})
 }
 
-func (r *limitedRun) take(i int, effects dispatch.Effects) {
+func (r *limitedRun) apply(i int, effects dispatch.Effects) {
 	r.changed[i] = r.changed[i] || len(effects.Grants) > 0 || len(effects.Limits) > 0
 	for _, grant := range effects.Grants {
 		id, sentAt := grant.Target.ID, r.now.Sub(start)
@@ -115,13 +115,13 @@
 				r.answered = append(r.answered, r.now.Sub(grant.Ticket.Arrived))
 			}
 			r.changed[i] = true
-			r.take(i, r.sched[i].ObserveLimit(r.now, grant.Ticket, r.declared(id)))
-			r.take(i, r.sched[i].Done(r.now, grant.Ticket, dispatch.Report{Outcome: dispatch.Answered, Latency: hold}))
+			r.apply(i, r.sched[i].ObserveLimit(r.now, grant.Ticket, r.declared(id)))
+			r.apply(i, r.sched[i].Done(r.now, grant.Ticket, dispatch.Report{Outcome: dispatch.Answered, Latency: hold}))
 		})
 	}
 }
 
-// declared is what a target's answer declares now.
+// declared returns the limit that a target's answer declares now.
 func (r *limitedRun) declared(id string) dispatch.Limit {
 	at := r.now.Sub(start)
 	var number int
@@ -132,32 +132,32 @@
 	return dispatch.Limit{Declared: true, PerSecond: r.fleet.limit}
 }
 
-// report tells an entry's load to its cell where it has changed, or now and then, and looks
-// at its queue.
+// report sends an entry's load to its cell if it has changed, or after a second, and checks
+// its queue.
 func (r *limitedRun) report(i int) {
 	r.after(10*time.Millisecond, func() {
-		if r.changed[i] || r.now.Sub(r.toldAt[i]) >= time.Second {
-			r.changed[i], r.toldAt[i] = false, r.now
-			r.tellCell(i, r.sched[i].OwnLoad(r.now))
+		if r.changed[i] || r.now.Sub(r.reportedAt[i]) >= time.Second {
+			r.changed[i], r.reportedAt[i] = false, r.now
+			r.sendToCell(i, r.sched[i].OwnLoad(r.now))
 		}
 		if r.sched[i].Waiting() > 0 {
-			r.take(i, r.sched[i].Tick(r.now))
+			r.apply(i, r.sched[i].Tick(r.now))
 		}
 		r.report(i)
 	})
 }
 
-func (r *limitedRun) tellCell(i int, load dispatch.Load) {
+func (r *limitedRun) sendToCell(i int, load dispatch.Load) {
 	cell := dispatch.CellOf(i, r.fleet.entries)
 	for j := range r.sched {
 		if j == i || dispatch.CellOf(j, r.fleet.entries) != cell || r.random.Float64() < r.fleet.loss {
 			continue
 		}
-		r.after(reportDelay, func() { r.take(j, r.sched[j].PeerLoad(r.now, fmt.Sprintf("e-%d", i), load)) })
+		r.after(reportDelay, func() { r.apply(j, r.sched[j].PeerLoad(r.now, fmt.Sprintf("e-%d", i), load)) })
 	}
 }
 
-// most is the highest number of requests that a target got in one window while its limit bound.
+// most returns the highest number of requests that a target got in one window while its limit bound.
 func (r *limitedRun) most(id string) int {
 	most := 0
 	for _, first := range r.arrivals[id] {
@@ -179,15 +179,15 @@
 	return n
 }
 
-// allowed is half more than the limit, and five requests.
+// allowed returns 1.5 times the limit of a window, plus five requests.
 func (f limitedFleet) allowed() int { return int(1.5*f.limit*limitWindow.Seconds() + 5) }
 
-// isDue reports whether a request that arrived then counts.
+// isDue reports whether a request with this arrival time counts.
 func (r *limitedRun) isDue(arrived time.Time) bool {
-	return arrived.Sub(start) < limitedDay-time.Second
+	return arrived.Sub(start) < runLength-time.Second
 }
 
-// share is the part of all due requests that was answered within some time.
+// share returns the share of all due requests that was answered within some time.
 func (r *limitedRun) share(within time.Duration) float64 {
 	slices.Sort(r.answered)
 	n, _ := slices.BinarySearch(r.answered, within+1)
@@ -196,22 +196,22 @@
 
 var limitedFleets = map[string]limitedFleet{
 	"six entries, two of twelve engines":    {entries: 6, targets: 12, slots: 4, perSecond: 60, hold: 400 * time.Millisecond, limited: 2, limit: 1.4, grace: 3 * time.Second},
-	"six entries, one of three services":    {entries: 6, targets: 3, slots: 6, perSecond: 60, hold: 40 * time.Millisecond, limited: 1, limit: 6, grace: 3 * time.Second},
+	"six entries, one of three servers":     {entries: 6, targets: 3, slots: 6, perSecond: 60, hold: 40 * time.Millisecond, limited: 1, limit: 6, grace: 3 * time.Second},
 	"a full cell":                           {entries: 17, targets: 20, slots: 4, perSecond: 120, hold: 400 * time.Millisecond, limited: 3, limit: 1.5, grace: 3 * time.Second},
-	"six cells share three services":        {entries: 78, targets: 3, slots: 6, perSecond: 150, hold: 60 * time.Millisecond, limited: 1, limit: 15, grace: 4 * time.Second},
+	"six cells share three servers":         {entries: 78, targets: 3, slots: 6, perSecond: 150, hold: 60 * time.Millisecond, limited: 1, limit: 15, grace: 4 * time.Second},
 	"sixteen cells share five, a low limit": {entries: 195, targets: 5, slots: 6, perSecond: 200, hold: 60 * time.Millisecond, limited: 1, limit: 1.5, grace: 5 * time.Second},
 	"a tenth of the reports are lost":       {entries: 6, targets: 12, slots: 4, perSecond: 60, hold: 400 * time.Millisecond, limited: 2, limit: 1.4, grace: 3 * time.Second, loss: 0.1},
 }
 
-// Guards against targets that get more than the limit that they declare: each entry knew
-// nothing of it, or kept to it alone while the sum of all did not.
+// Guards against targets that get more than the limit that they declare, because an entry
+// ignores the limit or each entry keeps it alone while the sum of all exceeds it.
 func TestDeclaredLimitIsKeptByAllEntriesTogether(t *testing.T) {
 	for name, fleet := range limitedFleets {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for seed := range uint64(3) {
 				fleet.seed = seed
-				run := fleet.play()
+				run := fleet.run()
 				for i := range fleet.limited {
 					g.Expect(run.most(fmt.Sprintf("t-%02d", i))).To(BeNumerically("<=", fleet.allowed()), "seed %d, target %d", seed, i)
 				}
@@ -220,24 +220,24 @@
 	}
 }
 
-// Guards against a limit that takes the other targets' callers with it.
-func TestLimitOfOneTargetLeavesTheOthersInTime(t *testing.T) {
-	for name, least := range map[string]float64{"six entries, two of twelve engines": 0.99, "six cells share three services": 0.99} {
+// Guards against a limit that makes requests to the other targets late.
+func TestLimitOfOneTargetKeepsOthersInTime(t *testing.T) {
+	for name, least := range map[string]float64{"six entries, two of twelve engines": 0.99, "six cells share three servers": 0.99} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			run := limitedFleets[name].play()
+			run := limitedFleets[name].run()
 			g.Expect(run.share(800 * time.Millisecond)).To(BeNumerically(">=", least))
 		})
 	}
 }
 
-// Guards against a target that stays throttled after its need is over.
-func TestTargetWithoutLimitIsUsedAgain(t *testing.T) {
+// Guards against a target that stays throttled after it has ended its limit.
+func TestTargetIsUsedFullyAfterLimitEnds(t *testing.T) {
 	for name, fleet := range limitedFleets {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			run := fleet.play()
-			g.Expect(run.count("t-00", limitedDay-limitWindow, limitedDay)).To(BeNumerically(">", fleet.allowed()))
+			run := fleet.run()
+			g.Expect(run.count("t-00", runLength-limitWindow, runLength)).To(BeNumerically(">", fleet.allowed()))
 		})
 	}
 }
--- a/internal/core/dispatch/limit_test.go
+++ b/internal/core/dispatch/limit_test.go
@@ -10,8 +10,8 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// Guards against limits that nobody can see: who declared what, and what was sent meanwhile.
-func TestChangesOfDeclaredLimitAreTold(t *testing.T) {
+// Guards against unreported limits: who declared which, and how many requests were sent meanwhile.
+func TestChangesOfDeclaredLimitAreReported(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 4))
 	limit := dispatch.Limit{Declared: true, PerSecond: 2}
@@ -27,8 +27,8 @@
 	g.Expect(effects.Limits).To(Equal([]dispatch.LimitChange{{Target: "t-00", Before: limit, Sent: 1, For: 3 * time.Second}}))
 }
 
-// limitedTarget is a scheduler whose only target declares a limit of two requests a second,
-// and the moment from which it may get the first.
+// limitedTarget returns a scheduler whose only target declares a limit of two requests a
+// second, and the time from which it may receive the first request.
 func limitedTarget(t *testing.T) (*dispatch.Scheduler, time.Time) {
 	s := newScheduler(targets(1, 4))
 	ticket, _ := s.Submit(start, ask("first"))
@@ -39,8 +39,8 @@
 	return s, start.Add(1600 * time.Millisecond)
 }
 
-// Guards against a limit that is forgotten when the target's entry lapses while the store is away.
-func TestLimitOutlivesLapseOfTheEntry(t *testing.T) {
+// Guards against a limit that is lost when the target's registration expires during an outage of the store.
+func TestLimitOutlivesExpiryOfRegistration(t *testing.T) {
 	g := NewWithT(t)
 	s, free := limitedTarget(t)
 	g.Expect(s.Tick(free).Grants).To(HaveLen(1))
@@ -51,23 +51,23 @@
 	g.Expect(s.Tick(free.Add(time.Second)).Grants).To(HaveLen(1))
 }
 
-// Guards against entries that each use the whole limit: what a peer has sent is gone for this one.
+// Guards against entries that each use the whole limit: requests sent by a peer count as used.
 func TestRequestsOfPeersDrawOnTheLimit(t *testing.T) {
 	g := NewWithT(t)
 	s, free := limitedTarget(t)
-	told := func(sent int) dispatch.Load {
+	peerLoad := func(sent int) dispatch.Load {
 		report := dispatch.LimitReport{Limit: dispatch.Limit{Declared: true, PerSecond: 2}, Sent: sent}
 		return dispatch.Load{Limits: map[string]dispatch.LimitReport{"t-00": report}}
 	}
-	g.Expect(s.PeerLoad(start.Add(1100*time.Millisecond), "peer", told(7)).Grants).To(BeEmpty())
-	g.Expect(s.PeerLoad(free.Add(-10*time.Millisecond), "peer", told(9)).Grants).To(BeEmpty())
+	g.Expect(s.PeerLoad(start.Add(1100*time.Millisecond), "peer", peerLoad(7)).Grants).To(BeEmpty())
+	g.Expect(s.PeerLoad(free.Add(-10*time.Millisecond), "peer", peerLoad(9)).Grants).To(BeEmpty())
 	g.Expect(s.Tick(free.Add(100 * time.Millisecond)).Grants).To(BeEmpty())
 	g.Expect(s.Tick(free.Add(1100 * time.Millisecond)).Grants).To(HaveLen(1))
 }
 
-// Guards against requests held until they expire where all targets together take less than
-// waits: whoever cannot be served in time hears it at once, and when to come back.
-func TestLimitsOfAllTargetsAreKnownToRefusals(t *testing.T) {
+// Guards against requests held until they expire when all targets together accept less than
+// is waiting: requests that cannot be served in time are refused at once, with a retry delay.
+func TestRefusalsAccountForLimitsOfAllTargets(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := limitedTarget(t)
 	refused, now := 0, start.Add(time.Second)
@@ -84,8 +84,8 @@
 	g.Expect(refused).To(BeNumerically(">=", 10))
 }
 
-// Guards against a bad count: a peer that starts again counts from nothing.
-func TestCountOfRestartedPeerIsNoDebt(t *testing.T) {
+// Guards against a wrong count: a restarted peer counts from zero.
+func TestCountOfRestartedPeerCreatesNoDebt(t *testing.T) {
 	g := NewWithT(t)
 	s, free := limitedTarget(t)
 	for _, sent := range []int{1000, 0} {
@@ -95,9 +95,9 @@
 	g.Expect(s.Tick(free.Add(100 * time.Millisecond)).Grants).To(HaveLen(1))
 }
 
-// Guards against news that gets younger each time that entries pass it on: the end of a limit
-// would pass for no newer than the limit, and the limit would never end.
-func TestEndOfLimitIsBelievedAfterManyReports(t *testing.T) {
+// Guards against declarations whose age shrinks each time that entries pass them on: the end
+// of a limit would seem no newer than the limit itself, and the limit would never end.
+func TestEndOfLimitSpreadsAfterManyReports(t *testing.T) {
 	g := NewWithT(t)
 	const delay = 3 * time.Millisecond
 	var entries []*dispatch.Scheduler
@@ -105,7 +105,7 @@
 		entries = append(entries, newScheduler(targets(1, 4)))
 	}
 	now := start
-	tellInTurn := func(period time.Duration) {
+	reportInTurn := func(period time.Duration) {
 		for end := now.Add(period); now.Before(end); {
 			for i, e := range entries {
 				load := e.OwnLoad(now)
@@ -123,14 +123,14 @@
 	first, _ := entries[0].Submit(now, ask("first"))
 	second, _ := entries[2].Submit(now, ask("second"))
 	entries[0].ObserveLimit(now, first, dispatch.Limit{Declared: true, PerSecond: 2})
-	tellInTurn(10 * time.Second)
+	reportInTurn(10 * time.Second)
 	g.Expect(limited()).To(Equal(len(entries)))
 	entries[2].ObserveLimit(now, second, dispatch.Limit{})
-	tellInTurn(2 * time.Second)
+	reportInTurn(2 * time.Second)
 	g.Expect(limited()).To(BeZero())
 	for range 4 {
 		entries[2].ObserveLimit(now, second, dispatch.Limit{})
-		tellInTurn(time.Second)
+		reportInTurn(time.Second)
 	}
-	g.Expect(entries[2].OwnLoad(now).Limits).To(BeEmpty(), "the end is told for a while only")
+	g.Expect(entries[2].OwnLoad(now).Limits).To(BeEmpty(), "the end is reported for a limited time only")
 }
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -15,10 +15,10 @@
 )
 
 // The load of these tests: engines of which a third are four times as slow as the
-// rest, requests whose length differs tenfold, and bursts beyond what the engines can
-// do. It is the assistants' load at shift change, scaled down to one entry.
+// rest, requests whose length differs tenfold, and bursts beyond the capacity of the
+// engines, scaled down to one entry.
 
-// engine is a target that runs its slots at once and queues the rest in order.
+// engine is a target that runs as many requests as it has slots and queues the rest in order.
 type engine struct {
 	catalog.Target
 	factor  float64
@@ -65,7 +65,7 @@
 	return last
 }
 
-// world plays requests of one entry against engines on a virtual clock.
+// world simulates the requests of one entry and the engines on a virtual clock.
 type world struct {
 	now     time.Time
 	pending events
@@ -99,7 +99,7 @@
 	heap.Push(&w.pending, event{w.now.Add(pause), do})
 }
 
-// offer lets requests arrive for a time, with a rate that the moment decides.
+// offer generates requests until a time, at a rate that depends on the time.
 func (w *world) offer(until time.Duration, rate func(time.Duration) float64) {
 	at := w.now.Sub(start)
 	if at > until {
@@ -164,7 +164,7 @@
 	}))
 }
 
-func (w *world) play() {
+func (w *world) run() {
 	w.tick()
 	for w.pending.Len() > 0 {
 		next := heap.Pop(&w.pending).(event)
@@ -180,8 +180,8 @@
 	}
 }
 
-// timely is the share of requests whose answer began within the objective and ended
-// in time, of those of a rank, or of all for a negative one.
+// timely returns the share of requests of a rank, or of all if it is negative, whose
+// answer began within the objective and ended in time.
 func (w *world) timely(rank int) float64 {
 	in, all := 0, 0
 	for _, j := range w.all {
@@ -200,7 +200,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// burst is a rate that rises for five seconds.
+// burst returns a rate that rises for five seconds.
 func burst(rate, factor float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at > 8*time.Second && at < 13*time.Second {
@@ -210,46 +210,46 @@
 	}
 }
 
-// Two thirds of what the engines can do: nearly all answers are in time, although a
-// third of the engines are slow and nobody said which.
-func TestUnlikeEnginesAtModerateLoad(t *testing.T) {
+// At two thirds of the engines' capacity nearly all answers are in time, although a
+// third of the engines are slow and none declares its speed.
+func TestEnginesOfDifferentSpeedAtModerateLoad(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		w := newWorld(seed, 6, 3, true)
 		w.offer(30*time.Second, steady(60))
-		w.play()
+		w.run()
 		g.Expect(w.timely(-1)).To(BeNumerically(">", 0.97))
 	}
 }
 
-// Long work on a slow engine ends after its caller has left. With declared sizes it
-// waits for a fast engine, and more answers are in time than without.
-func TestDeclaredSizesServeMore(t *testing.T) {
-	sized, blind := 0.0, 0.0
+// Long work on a slow engine ends after its caller has disconnected. With declared sizes
+// it waits for a fast engine, and more answers are in time than without.
+func TestDeclaredSizesRaiseShareInTime(t *testing.T) {
+	sized, unsized := 0.0, 0.0
 	for seed := range uint64(4) {
 		for _, w := range []*world{newWorld(seed, 6, 3, true), newWorld(seed, 6, 3, false)} {
 			w.offer(30*time.Second, steady(85))
-			w.play()
+			w.run()
 			if w.sized {
 				sized += w.timely(-1) / 4
 			} else {
-				blind += w.timely(-1) / 4
+				unsized += w.timely(-1) / 4
 			}
 		}
 	}
-	t.Logf("in time: %.3f with sizes, %.3f without", sized, blind)
-	NewWithT(t).Expect(sized).To(BeNumerically(">", blind))
+	t.Logf("in time: %.3f with sizes, %.3f without", sized, unsized)
+	NewWithT(t).Expect(sized).To(BeNumerically(">", unsized))
 }
 
-// A burst beyond what the engines can do: the important requests are still served,
-// what is less important waits and is refused first, and the overload ends with the
-// burst, since late requests do not delay timely ones.
-func TestBurstServesImportantFirstAndEnds(t *testing.T) {
+// During a burst beyond the engines' capacity urgent requests are still served, less
+// urgent ones wait and are refused first, and the overload ends with the burst, since
+// late requests do not delay timely ones.
+func TestBurstServesUrgentFirstAndRecovers(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		w := newWorld(seed, 6, 3, true)
 		w.offer(30*time.Second, burst(60, 3))
-		w.play()
+		w.run()
 		g.Expect(w.timely(0)).To(BeNumerically(">", 0.85))
 		g.Expect(w.timely(0)).To(BeNumerically(">", w.timely(2)))
 		g.Expect(w.refused[2]).To(BeNumerically(">=", w.refused[0]))
--- a/internal/core/dispatch/pause_test.go
+++ b/internal/core/dispatch/pause_test.go
@@ -9,9 +9,9 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// Guards against a target that is asked again within the pause that it wants, such as when its
-// entry lapses and comes back, and one that is not asked after it.
-func TestPausedTargetGetsNothingUntilItsTime(t *testing.T) {
+// Guards against a target that receives requests during a pause that it requested, such as when
+// its registration expires and is renewed, and against one that receives none afterwards.
+func TestPausedTargetGetsNoRequestsUntilPauseEnds(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 4))
 	ticket, _ := s.Submit(start, ask("1"))
@@ -27,8 +27,8 @@
 	g.Expect(effects.Grants[0].Ticket).To(Equal(waiting))
 }
 
-// Guards against callers held in vain: those that wait when the last target asks for a pause
-// longer than their time, and those that come after.
+// Guards against requests held in vain when the last target requests a pause longer than they
+// can wait: both those that are waiting and those that arrive later.
 func TestPauseOfAllTargetsRefusesAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
--- a/internal/core/dispatch/pool.go
+++ b/internal/core/dispatch/pool.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// pool is the targets of one service and what waits for them.
+// pool holds the targets of one service and the requests that wait for them.
 type pool struct {
 	service string
 	targets []*target
 	waiting []*Ticket
-	// advancedAt is when the queue was last looked at.
+	// advancedAt is when the queue was last advanced.
 	advancedAt time.Time
 	classes    map[string]*class
 	rates      rates
-	// lateFate is what becomes of requests that are late.
-	lateFate fate
-	// sharing is the number of cells that share all targets; 1: each has its own.
+	// lateRequests is the rate at which late requests get a slot.
+	lateRequests placementRate
+	// sharing is the number of cells that share all targets; 1 means that each has its own.
 	sharing int
 	// latency is the mean latency over all targets, in ns.
 	latency mean
-	// pauseRatio is the longest pause of late in a stream, as a multiple of the mean pause
-	// at its target; 0: none seen.
+	// pauseRatio is the longest recent pause in a stream, as a multiple of the mean pause
+	// at its target; 0 means that none was measured.
 	pauseRatio float64
 	// failures is the mean share of failures over all targets.
 	failures mean
@@ -43,7 +43,7 @@
 	return true
 }
 
-// mostUrgent is the urgency of the most urgent request that waits; false: none does.
+// mostUrgent returns the urgency of the most urgent waiting request, and whether any waits.
 func (p *pool) mostUrgent(now time.Time) (most Urgency, waits bool) {
 	for _, ticket := range p.waiting {
 		if u := ticket.urgency(now); !waits || u < most {
@@ -53,7 +53,7 @@
 	return most, waits
 }
 
-// slots is what all usable targets run at once.
+// slots returns the number of requests that all usable targets run concurrently.
 func (p *pool) slots() int {
 	n := 0
 	for _, t := range p.targets {
@@ -64,44 +64,44 @@
 	return n
 }
 
-// order sorts the queue: what can still be in time goes first, then by priority and
-// rank, then by arrival, long work a little later. A request that is late has lost most of
-// its worth, so it gets only places that no timely one needs; otherwise each late
-// answer would make the next one late as well, and a short overload would last.
+// order sorts the queue: requests that can still be in time first, then by priority and
+// rank, then by arrival, with long work slightly delayed. A late request has lost most of
+// its value, so it gets only slots that no timely one needs; otherwise each late
+// answer would make the next one late as well, and a short overload would persist.
 func (p *pool) order(now time.Time) {
 	slices.SortStableFunc(p.waiting, func(a, b *Ticket) int {
 		return cmp.Or(
 			boolean(a.late(now))-boolean(b.late(now)),
 			a.Priority-b.Priority,
 			a.Rank-b.Rank,
-			a.turn.Compare(b.turn),
+			a.queueTime.Compare(b.queueTime),
 			cmp.Compare(a.sequence, b.sequence),
 		)
 	})
 }
 
 // longWorkDelay is how much later a request counts as arrived for each unit of
-// expected work. Short work first serves more requests in time under overload;
-// the bounded delay keeps long requests from starving.
+// expected work. Serving short work first keeps more requests in time under overload;
+// the bounded delay prevents starvation of long requests.
 const longWorkDelay = 1.0
 
 // schedule sets the times by which a request is ordered.
 func (p *pool) schedule(ticket *Ticket) {
 	expected := p.expected(ticket)
-	ticket.turn = ticket.Arrived.Add(time.Duration(longWorkDelay * float64(expected)))
+	ticket.queueTime = ticket.Arrived.Add(time.Duration(longWorkDelay * float64(expected)))
 	if ticket.Objective.IsZero() {
 		return
 	}
-	begin := p.first(ticket.Work)
+	begin := p.timeToFirst(ticket.Work)
 	if begin == 0 {
 		begin = expected
 	}
-	ticket.timely = ticket.Objective.Add(-begin)
+	ticket.latestTimely = ticket.Objective.Add(-begin)
 }
 
-// late reports whether sending the request now should miss its objective.
+// late reports whether the request would miss its objective if sent now.
 func (t *Ticket) late(now time.Time) bool {
-	return !t.Objective.IsZero() && now.After(t.timely)
+	return !t.Objective.IsZero() && now.After(t.latestTimely)
 }
 
 func boolean(b bool) int {
@@ -111,15 +111,15 @@
 	return 0
 }
 
-// mean is an exponentially weighted mean that starts as a plain one, so that the
-// first samples count at once.
+// mean is an exponentially weighted mean that starts as an arithmetic mean, so that the
+// first samples have full weight.
 type mean struct {
 	value   float64
 	samples int
 }
 
-// meanWindow is the number of samples after which the mean forgets: enough to
-// smooth sizes that differ tenfold, few enough to follow a change in a second or two.
+// meanWindow is the number of samples that the mean covers: enough to smooth sizes that
+// differ tenfold, few enough to follow a change in a second or two.
 const meanWindow = 20
 
 func (m *mean) add(sample float64) {
--- a/internal/core/dispatch/pools_test.go
+++ b/internal/core/dispatch/pools_test.go
@@ -10,8 +10,8 @@
 )
 
 // Requests wait for an old version's targets when all traffic is moved to a new one. They
-// move along and are served there; left behind they would wait for places that nobody
-// frees any more.
+// are moved as well and served there; otherwise they would wait for slots that are never
+// freed.
 func TestWaitingRequestsAreRedirected(t *testing.T) {
 	w := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
@@ -34,8 +34,8 @@
 	w.Expect(s.Engaged("desk")).To(Equal(0))
 }
 
-// A target is moved to another pool while it runs a request. The place is given back, and
-// only the new pool sends there.
+// A target is moved to another pool while it runs a request. The slot is released, and
+// only the new pool sends requests there.
 func TestTargetMovesBetweenPools(t *testing.T) {
 	w := NewWithT(t)
 	now := time.Unix(1_700_000_000, 0)
--- a/internal/core/dispatch/precedence.go
+++ b/internal/core/dispatch/precedence.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Urgency orders requests over the entries of a cell; the lowest goes first.
+// Urgency orders requests over the entries of a cell; lower values go first.
 type Urgency uint32
 
-// lateUrgency is added where a request has missed its objective; see pool.order.
+// lateUrgency is added if a request has missed its objective; see pool.order.
 const lateUrgency Urgency = 1 << 16
 
-// UrgencyOf is the urgency of a request that can still be in time.
+// UrgencyOf returns the urgency of a request that can still be in time.
 func UrgencyOf(priority, rank int) Urgency {
 	return Urgency(min(priority, 0xff)<<8 | min(rank, 0xff))
 }
@@ -25,55 +25,55 @@
 	return u
 }
 
-// precedenceStep is how much later each entry may take a free place than the one before it:
-// longer than a report takes to the others, so that who comes next sees that it is taken.
-const precedenceStep = 8 * time.Millisecond
+// turnDelay is the delay between two successive entries for taking a free slot: longer
+// than a report takes to the others, so that the next entry sees that the slot is taken.
+const turnDelay = 8 * time.Millisecond
 
-// hasPrecedence reports whether this entry may send the ticket to a free place now.
-// When an entry gives a place back, all others of the cell that have requests waiting
-// see it at once. Taken by all of them, the target gets ten requests for one place:
-// measured at 78 entries under overload, targets held 1.4 requests for each place, and
-// those shared by all cells were filled to the end of their own queues. So each entry
-// waits its turn: the entries with more urgent requests go first, or each would keep the
-// places that it frees itself for whatever it has; those with equally urgent ones follow
-// in an order that differs by target. A place that it has given back itself, an entry
-// takes at once for what is as urgent as the others' requests.
+// hasPrecedence reports whether this entry may send the ticket to a free slot now.
+// When an entry releases a slot, all others of the cell with waiting requests receive
+// the report at the same time. If all of them took it, the target would get ten requests for
+// one slot: with 78 entries under overload, targets held 1.4 requests per slot, and
+// those shared by all cells filled their own queues completely. So the entries take turns:
+// those with more urgent requests go first, since otherwise each entry would use the slots
+// that it frees itself for its less urgent requests; those with equally urgent ones follow in
+// an order that differs by target. An entry takes a slot that it has released itself at once
+// for a request as urgent as those of the others.
 func (s *Scheduler) hasPrecedence(now time.Time, t *target, ticket *Ticket) bool {
 	urgency := ticket.urgency(now)
-	ahead, known := t.now.ahead[urgency]
+	ahead, known := t.snapshot.ahead[urgency]
 	if !known {
 		ahead = s.entriesAhead(now, t, urgency)
-		t.now.ahead[urgency] = ahead
+		t.snapshot.ahead[urgency] = ahead
 	}
-	return ahead == 0 || !now.Before(t.freeSince.Add(time.Duration(ahead)*precedenceStep))
+	return ahead == 0 || !now.Before(t.freeSince.Add(time.Duration(ahead)*turnDelay))
 }
 
-// entriesAhead is the number of entries that go before this one with such a request.
+// entriesAhead returns the number of entries that precede this one for such a request.
 func (s *Scheduler) entriesAhead(now time.Time, t *target, urgency Urgency) int {
 	freedHere := t.releasedAt.Equal(now)
 	ahead := 0
 	for name, peer := range s.peers {
-		if now.Sub(peer.at) > reportLife {
+		if now.Sub(peer.at) > reportTTL {
 			continue
 		}
 		theirs, waits := peer.waiting[t.Service]
 		switch {
 		case !waits || theirs > urgency:
-		case theirs < urgency, !freedHere && s.before(name, t):
+		case theirs < urgency, !freedHere && s.precedes(name, t):
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// before reports whether a peer goes before this entry where both have equally urgent
+// precedes reports whether a peer precedes this entry if both have equally urgent
 // requests.
-func (s *Scheduler) before(peer string, t *target) bool {
+func (s *Scheduler) precedes(peer string, t *target) bool {
 	return xxhash.Sum64String(t.incarnation+peer) < xxhash.Sum64String(t.incarnation+s.config.Name)
 }
 
-// observe notes since when a target has room.
-func (t *target) observe(now time.Time, free bool) {
+// trackFree records since when a target has a free slot.
+func (t *target) trackFree(now time.Time, free bool) {
 	switch {
 	case !free:
 		t.freeSince = time.Time{}
--- a/internal/core/dispatch/refuse.go
+++ b/internal/core/dispatch/refuse.go
@@ -5,19 +5,19 @@
 )
 
 const (
-	// MinRetryAfter is the shortest pause that a caller is asked to make.
+	// MinRetryAfter is the shortest retry delay given to a caller.
 	MinRetryAfter = 200 * time.Millisecond
-	// maxRetryAfter bounds it: callers' deadlines are a few seconds.
+	// maxRetryAfter is the longest retry delay: callers' deadlines are a few seconds.
 	maxRetryAfter = 6 * time.Second
-	// retryFactor is how much later than the estimated wait a caller is to come back: the
-	// excess lasts longer than the queue of one entry says. With 1, 9 to 30 % more of the worth of
-	// those who came back was refused again on the two heaviest days.
+	// retryFactor is the retry delay as a multiple of the estimated wait. An overload lasts
+	// longer than the queue of one entry indicates: with a factor of 1, 9 to 30 % more of the
+	// value of retried requests was refused again under the heaviest loads.
 	retryFactor = 3
-	// unknownHold stands for the mean time at a target before any is known.
-	unknownHold = 300 * time.Millisecond
+	// defaultHold is used as the mean time at a target until one has been measured.
+	defaultHold = 300 * time.Millisecond
 )
 
-// refuseAtOnce refuses a request that can't be served in its time.
+// refuseAtOnce refuses a request that cannot be served in time.
 func (s *Scheduler) refuseAtOnce(now time.Time, p *pool, ticket *Ticket) (Refusal, bool) {
 	if p.slots() == 0 {
 		return Refusal{Ticket: ticket, Reason: ReasonNoTarget, RetryAfter: time.Second}, true
@@ -27,26 +27,26 @@
 	}
 	ahead := 0
 	for _, other := range p.waiting {
-		if !other.late(now) && !ticket.before(other) {
+		if !other.late(now) && !ticket.outranks(other) {
 			ahead++
 		}
 	}
 	if ahead == 0 {
 		return Refusal{}, false
 	}
-	wait := s.wait(p, ahead)
-	if now.Add(wait).Before(ticket.lastStart()) {
+	wait := s.estimatedWait(p, ahead)
+	if now.Add(wait).Before(ticket.latestStart()) {
 		return Refusal{}, false
 	}
 	return s.refusal(p, ticket, ReasonOverload, wait), true
 }
 
-// before reports whether a request is more important than another.
-func (t *Ticket) before(other *Ticket) bool {
+// outranks reports whether a request precedes another by priority and rank.
+func (t *Ticket) outranks(other *Ticket) bool {
 	return t.Priority < other.Priority || t.Priority == other.Priority && t.Rank < other.Rank
 }
 
-// refuseExpired ends what waits past the time in which it could be answered.
+// refuseExpired refuses requests that can no longer be answered in time.
 func (s *Scheduler) refuseExpired(now time.Time, p *pool) []Refusal {
 	var refusals []Refusal
 	kept := p.waiting[:0]
@@ -57,43 +57,43 @@
 			continue
 		}
 		late := ticket.late(now)
-		shed := late && p.lateFate.rarelyPlaced(now)
-		if now.Before(ticket.lastStart()) && !shed {
+		shed := late && p.lateRequests.rarelyPlaced(now)
+		if now.Before(ticket.latestStart()) && !shed {
 			kept = append(kept, ticket)
 			continue
 		}
 		if late && !shed {
-			p.lateFate.note(now, false)
+			p.lateRequests.record(now, false)
 		}
-		refusals = append(refusals, s.refusal(p, ticket, ReasonExpired, s.wait(p, len(p.waiting))))
+		refusals = append(refusals, s.refusal(p, ticket, ReasonExpired, s.estimatedWait(p, len(p.waiting))))
 	}
 	clear(p.waiting[len(kept):])
 	p.waiting = kept
 	return refusals
 }
 
-// startShare is the part of its time that a request may spend in the queue. Refused
-// then, it can still come back and be served late; held longer, it would most likely
-// be left by its caller, and a place at a target be wasted on it.
-const startShare = 0.6
+// maxQueueShare is the part of its time that a request may spend in the queue. Refused
+// by then, it can still be retried and served late; held longer, it would most likely
+// be abandoned by its caller and waste a slot at a target.
+const maxQueueShare = 0.6
 
-// lastStart is the latest time at which sending the request still makes sense.
-func (t *Ticket) lastStart() time.Time {
+// latestStart returns the latest time at which sending the request is still useful.
+func (t *Ticket) latestStart() time.Time {
 	by := t.Expires
 	if !t.BeginBy.IsZero() && t.BeginBy.Before(by) {
 		by = t.BeginBy
 	}
-	return t.Arrived.Add(time.Duration(startShare * float64(by.Sub(t.Arrived))))
+	return t.Arrived.Add(time.Duration(maxQueueShare * float64(by.Sub(t.Arrived))))
 }
 
-// wait estimates how long a request waits behind others.
-func (s *Scheduler) wait(p *pool, ahead int) time.Duration {
+// estimatedWait estimates how long a request waits behind others.
+func (s *Scheduler) estimatedWait(p *pool, ahead int) time.Duration {
 	return time.Duration(float64(ahead+1) / s.throughput(p) * float64(time.Second))
 }
 
-// throughput is the number of requests a second that this entry may count on: its places
-// turn over once in the mean time at a target, and targets that declare a limit take no more
-// than that.
+// throughput returns the number of requests a second available to this entry: its slots
+// are reused once per mean time at a target, and targets that declare a limit accept no
+// more than that.
 func (s *Scheduler) throughput(p *pool) float64 {
 	hold := p.meanHold() / float64(time.Second)
 	own, slots, limited := 0, 0, 0.0
@@ -114,8 +114,8 @@
 	return float64(max(own, slots/s.entries, 1))/hold + limited/float64(s.entries)
 }
 
-// own is the number of requests that this entry has at the pool's targets.
-func (p *pool) own() int {
+// ownRequests returns the number of requests that this entry has at the pool's targets.
+func (p *pool) ownRequests() int {
 	n := 0
 	for _, t := range p.targets {
 		n += t.own
@@ -123,7 +123,7 @@
 	return n
 }
 
-// meanHold is the mean time at a target over all classes, in ns.
+// meanHold returns the mean time at a target over all classes, in ns.
 func (p *pool) meanHold() float64 {
 	sum, n := 0.0, 0
 	for _, c := range p.classes {
@@ -133,7 +133,7 @@
 		}
 	}
 	if n == 0 {
-		return float64(unknownHold)
+		return float64(defaultHold)
 	}
 	return sum / float64(n)
 }
--- a/internal/core/dispatch/sample.go
+++ b/internal/core/dispatch/sample.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Sample is what one answer showed of a target's speed. Each entry learns from its own
-// answers and from those of its cell: a slow target gets few requests, and with nine
-// entries it takes each of them most of half a minute to see two of its answers, time in
-// which prompts that are too long go there. Told, the first answers teach all.
+// Sample is a measurement of a target's speed from one answer. Each entry learns from its
+// own answers and from those of its cell: a slow target gets few requests, so with nine
+// entries each one needs most of half a minute to see two of its answers and meanwhile
+// sends prompts there that are too long. Shared, the first answers inform all entries.
 type Sample struct {
 	Target string
-	// TokenTime is the time to read a token of a prompt, Latency the mean pause between
-	// events, Longest the longest pause; 0: not measured.
+	// TokenTime is the time to read a prompt token, Latency the mean pause between
+	// events, LongestPause the longest pause; 0 means not measured.
 	TokenTime, Latency, Longest time.Duration
 }
 
-// maxSamples bounds the samples that wait to be told: those of the time between two
-// reports at the highest rate of answers that an entry sees.
+// maxSamples bounds the samples that wait to be reported: those of the time between two
+// reports at the highest rate of answers that an entry receives.
 const maxSamples = 32
 
-// measured learns an own sample and keeps it for the cell.
-func (s *Scheduler) measured(t *target, sample Sample) {
+// recordSample learns from an own sample and keeps it for the next report to the cell.
+func (s *Scheduler) recordSample(t *target, sample Sample) {
 	t.learnSample(sample)
 	if len(s.samples) < maxSamples {
 		s.samples = append(s.samples, sample)
 	}
 }
 
-// learnPeerSamples learns the samples of a peer.
+// learnPeerSamples learns from the samples of a peer.
 func (s *Scheduler) learnPeerSamples(samples []Sample) {
 	for _, sample := range samples {
 		if t, found := s.targets[sample.Target]; found {
@@ -46,10 +46,10 @@
 	t.learnPause(sample.Longest)
 }
 
-// ObserveLatency tells the mean pause between the first events of a stream, before it ends: a
-// long stream on a slow target ends seconds after its speed could be known.
+// ObserveLatency records the mean pause between the first events of a stream before it
+// ends: a long stream on a slow target ends seconds after its speed can be measured.
 func (s *Scheduler) ObserveLatency(ticket *Ticket, latency time.Duration) {
 	if at := ticket.target; at != nil && latency > 0 {
-		s.measured(at, Sample{Target: at.incarnation, Latency: latency})
+		s.recordSample(at, Sample{Target: at.incarnation, Latency: latency})
 	}
 }
--- a/internal/core/dispatch/services.go
+++ b/internal/core/dispatch/services.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// ServiceLoad is what a scheduler knows of one service's targets.
+// ServiceLoad is the load of one service's targets as known to this entry.
 type ServiceLoad struct {
 	Service string
-	// Targets is the number of targets that this entry's cell uses, Ejected of those
-	// that get nothing now, Limited those that declare a limit.
+	// Targets is the number of targets that this entry's cell uses, Ejected that of targets
+	// that currently receive nothing, Limited that of targets that declare a limit.
 	Targets, Ejected, Limited int
 	// InFlight is the number of this entry's requests there, Load that of the cell,
 	// Limit the number that the cell may have there at once.
@@ -23,7 +23,7 @@
 	for _, p := range s.pools {
 		sum := ServiceLoad{Service: p.service}
 		for _, t := range p.targets {
-			if !t.serves() {
+			if !t.usedByCell() {
 				continue
 			}
 			load, _ := s.load(now, t)
@@ -44,19 +44,19 @@
 	return services
 }
 
-// Engaged is the number of this entry's requests that are at a service's targets or wait
-// for one.
+// Outstanding returns the number of this entry's requests that are at a service's targets
+// or wait for one.
 func (s *Scheduler) Engaged(service string) int {
 	p := s.pool(service)
-	return len(p.waiting) + p.own()
+	return len(p.waiting) + p.ownRequests()
 }
 
-// HasRoom reports whether a request for a service would get a place at once.
+// HasFreeSlot reports whether a request for a service would get a slot at once.
 func (s *Scheduler) HasRoom(now time.Time, service string) bool {
 	p := s.pool(service)
 	if len(p.waiting) > 0 {
 		return false
 	}
-	s.survey(now, p)
+	s.updateSnapshots(now, p)
 	return p.anyFree()
 }
--- a/internal/core/dispatch/shed.go
+++ b/internal/core/dispatch/shed.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// While more comes than the targets can do, requests that have missed their objective
-// wait behind all that can still be in time, and most of them are refused in the end.
-// Held until then, their callers wait for seconds, come back and are held again. So the
-// pool notes what becomes of late requests, and while hardly any gets a place, a request
-// is refused as soon as it is late, so that its caller hears it at once.
+// Under overload, requests that have missed their objective wait behind all that can still
+// be in time, and most of them are refused in the end. If they were held until then, their
+// callers would wait for seconds, retry and be held again. So the pool measures how many
+// late requests get a slot, and while hardly any does, it refuses a request as soon as it
+// is late.
 
 const (
-	// lateWorthHolding is the part of late requests that must get a place for them to be
-	// held: an answer that comes late is worth a tenth to half of one in time.
-	lateWorthHolding = 0.3
-	// fateSamples is the number of late requests from which their fate is known, fateLife
-	// how long it counts: then a few are held again to see whether the excess is over.
-	fateSamples = 5
-	fateLife    = 1500 * time.Millisecond
+	// minPlacedShare is the part of late requests that must get a slot for them to be
+	// held: a late answer has a tenth to half of the value of one in time.
+	minPlacedShare = 0.3
+	// minLateSamples is the number of late requests from which the rate is valid,
+	// lateSampleTTL for how long: after that a few are held again to check whether the
+	// overload has ended.
+	minLateSamples = 5
+	lateSampleTTL  = 1500 * time.Millisecond
 )
 
-// fate is what became of the late requests of a pool.
-type fate struct {
+// placementRate is the rate at which late requests of a pool get a slot.
+type placementRate struct {
 	placed mean
 	at     time.Time
 }
 
-// note counts a late request that got a place, or was refused after it was held.
-func (f *fate) note(now time.Time, placed bool) {
-	if now.Sub(f.at) > fateLife {
-		f.placed = mean{}
+// record counts a late request that got a slot, or was refused after it was held.
+func (r *placementRate) record(now time.Time, placed bool) {
+	if now.Sub(r.at) > lateSampleTTL {
+		r.placed = mean{}
 	}
-	f.at = now
+	r.at = now
 	if placed {
-		f.placed.add(1)
+		r.placed.add(1)
 	} else {
-		f.placed.add(0)
+		r.placed.add(0)
 	}
 }
 
-// rarelyPlaced reports whether hardly any late request gets a place now.
-func (f *fate) rarelyPlaced(now time.Time) bool {
-	return now.Sub(f.at) <= fateLife && f.placed.samples >= fateSamples && f.placed.value < lateWorthHolding
+// rarelyPlaced reports whether hardly any late request currently gets a slot.
+func (r *placementRate) rarelyPlaced(now time.Time) bool {
+	return now.Sub(r.at) <= lateSampleTTL && r.placed.samples >= minLateSamples && r.placed.value < minPlacedShare
 }
--- a/internal/core/dispatch/target.go
+++ b/internal/core/dispatch/target.go
@@ -6,85 +6,85 @@
 	"sycamoretrail/internal/core/catalog"
 )
 
-// target is a server with what is known of it.
+// target is a server with its state as known to this entry.
 type target struct {
 	catalog.Target
-	// incarnation is the name by which it is held here and told of.
+	// incarnation is the name by which it is stored here and reported to peers.
 	incarnation string
 	pool        *pool
-	// place orders it among the targets that are divided into cells.
-	place uint64
+	// cellKey orders the targets when they are divided into cells.
+	cellKey uint64
 	// own is the number of requests that this entry has there.
 	own int
-	// inCell: it is one of the targets of this entry's cell.
+	// inCell means that it is one of the targets of this entry's cell.
 	inCell bool
 	// latency is the mean time between events of its streams, or to other answers, in ns.
 	latency mean
-	// readTime is the mean time to read a token of a prompt, in ns.
+	// readTime is the mean time to read a prompt token, in ns.
 	readTime mean
-	// reading are this entry's requests there whose prompts are being read.
+	// reading contains this entry's requests there whose prompts are being read.
 	reading []*Ticket
 	// limited is the limit that the target declares.
 	limited declaredLimit
 	// failures is the mean share of failures.
 	failures mean
-	// releasedAt is when this entry last gave a place back, freeSince since when the target
-	// is known to have room; see hasPrecedence.
+	// releasedAt is when this entry last released a slot, freeSince since when the target
+	// is known to have a free slot; see hasPrecedence.
 	releasedAt, freeSince time.Time
-	// ejectedUntil is until when it gets nothing; each further failure in a row doubles
-	// the time.
+	// ejectedUntil is until when it receives nothing; each further consecutive failure
+	// doubles the time.
 	ejectedUntil        time.Time
 	consecutiveFailures int
-	// pausedUntil is until when it wants nothing from this entry.
+	// pausedUntil is the end of the pause that the target requested from this entry.
 	pausedUntil time.Time
-	// unresponsiveUntil is until when this entry reports it to the cell, reports until when
-	// each other entry does.
-	unresponsiveUntil time.Time
-	reports           map[string]time.Time
-	// now is what is known of it at the moment of a decision.
-	now view
-	// probing: it has been unresponsive and has not answered since. It gets one request at a
-	// time, or all entries would try it again at once.
+	// unresponsiveUntil is until when this entry reports it to the cell as unresponsive,
+	// unresponsiveReports until when each other entry does.
+	unresponsiveUntil   time.Time
+	unresponsiveReports map[string]time.Time
+	// snapshot is its state at the moment of a decision.
+	snapshot snapshot
+	// probing means that it has been unresponsive and has not answered since. It receives one
+	// request at a time, since otherwise all entries would retry it at once.
 	probing bool
 }
 
 const (
 	// ejectionBase is the first ejection after a target could not be reached. A server
-	// that restarts is back after some seconds; 250 ms costs little if the failure
-	// was only a full queue of connections.
+	// that restarts is back after some seconds; 250 ms costs little if the only cause
+	// was a full connection queue.
 	ejectionBase = 250 * time.Millisecond
-	// ejectionMax bounds an ejection, so that a server that is back is used soon.
+	// ejectionMax bounds an ejection, so that a recovered server is used again soon.
 	ejectionMax = 2 * time.Second
-	// rejectionPause lets a full target empty a little before the next attempt.
+	// rejectionPause lets a full target finish some requests before the next attempt.
 	rejectionPause = 60 * time.Millisecond
-	// replacedPause covers the time until the register shows the change.
+	// replacedPause covers the time until the register reflects the change.
 	replacedPause = time.Minute
-	// slownessFloor and slownessCeiling bound the ratio to the pool's mean, so that a few
-	// odd samples neither flood nor starve a target.
-	slownessFloor, slownessCeiling = 0.2, 8.0
-	// failureWeight is how strongly failures beyond the pool's mean repel requests.
+	// minSlowness and maxSlowness bound the ratio to the pool's mean, so that a few
+	// outliers neither flood nor starve a target.
+	minSlowness, maxSlowness = 0.2, 8.0
+	// failureWeight is the weight of failures beyond the pool's mean in the cost of a target.
 	failureWeight = 12.0
-	// minSamples is the number of answers from which a target's own mean counts fully.
+	// minSamples is the number of samples from which a target's own mean is used.
 	minSamples = 2
 )
 
-// learn takes what was seen of one request.
+// learn updates the target with the report of one request.
 func (t *target) learn(now time.Time, report Report) {
 	switch report.Outcome {
 	case Answered:
-		t.failure(0)
+		t.recordFailure(0)
 		t.consecutiveFailures = 0
 		t.unresponsiveUntil = time.Time{}
 		t.probing = false
 	case Failed:
-		t.failure(1)
+		t.recordFailure(1)
 		t.consecutiveFailures = 0
 		t.probing = false
 	case Broken:
-		t.failure(1)
+		t.recordFailure(1)
 		t.eject(now, ejectionBase)
 	case TimedOut:
-		t.failure(1)
+		t.recordFailure(1)
 		t.eject(now, ejectionBase)
 		t.unresponsiveUntil = t.ejectedUntil
 		t.probing = true
@@ -99,7 +99,7 @@
 	}
 }
 
-func (t *target) failure(share float64) {
+func (t *target) recordFailure(share float64) {
 	t.failures.add(share)
 	t.pool.failures.add(share)
 }
@@ -117,16 +117,17 @@
 	return b
 }
 
-// slowness is the target's time for the same work against the pool's mean; 1
-// where nothing is known.
+// slowness returns the target's time for the same work relative to the pool's mean; 1
+// if it is unknown.
 func (t *target) slowness() float64 {
 	if t.latency.samples < minSamples || t.pool.latency.value == 0 {
 		return 1
 	}
-	return min(slownessCeiling, max(slownessFloor, t.latency.value/t.pool.latency.value))
+	return min(maxSlowness, max(minSlowness, t.latency.value/t.pool.latency.value))
 }
 
-// unreliability is 1 for a target that fails no more often than the pool.
+// unreliability returns the cost factor for failures; 1 if the target fails no more often
+// than the pool.
 func (t *target) unreliability() float64 {
 	if t.failures.samples < minSamples {
 		return 1
@@ -134,8 +135,7 @@
 	return 1 + failureWeight*max(0, t.failures.value-t.pool.failures.value-0.05)
 }
 
-// limit is the number of requests that the target should have at once, as far as
-// this cell knows of them.
+// limit returns the number of requests that the target may have at once from this cell.
 func (t *target) limit() int {
 	if t.probing {
 		return 1
@@ -143,13 +143,13 @@
 	if t.pool.sharing <= 1 {
 		return t.Slots
 	}
-	return int(sharedHeadroom*float64(t.Slots)/float64(t.pool.sharing)) + 1
+	return int(sharedOvercommit*float64(t.Slots)/float64(t.pool.sharing)) + 1
 }
 
-// serves reports whether the target is one of those that the cell uses.
-func (t *target) serves() bool { return t.inCell && !t.Leaving }
+// usedByCell reports whether this entry's cell uses the target.
+func (t *target) usedByCell() bool { return t.inCell && !t.Leaving }
 
-// avoided reports whether the target gets nothing for now.
+// avoided reports whether the target currently receives nothing.
 func (t *target) avoided(now time.Time) bool {
 	return now.Before(t.ejectedUntil) || t.paused(now) || t.reportedUnresponsive(now)
 }
--- a/internal/core/dispatch/unresponsive_test.go
+++ b/internal/core/dispatch/unresponsive_test.go
@@ -11,9 +11,9 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// cellLoad is what twelve entries send to five servers of a plain service, each of
-// which takes 6 requests at once and some 60 ms for one: 25 requests a second at each
-// entry, two thirds of what the servers can do.
+// cellLoad simulates twelve entries and five servers of a plain service, each of which
+// runs 6 requests at once and takes about 60 ms for one: 25 requests a second at each
+// entry, two thirds of the capacity of the servers.
 type cellLoad struct {
 	now      time.Time
 	random   *rand.Rand
@@ -31,16 +31,16 @@
 }
 
 const (
-	cellMembers = 12
-	// patience is how long a request of the plain service is waited for.
-	patience = 800 * time.Millisecond
-	// hanging takes requests, passes its health check and answers none.
+	cellEntries = 12
+	// plainTimeout is the timeout of a request of the plain service.
+	plainTimeout = 800 * time.Millisecond
+	// hanging accepts requests, passes its health check and answers none.
 	hanging = "t-02"
 )
 
 func newCellLoad() *cellLoad {
 	c := &cellLoad{now: start, random: rand.New(rand.NewPCG(4, 4))}
-	for i := range cellMembers {
+	for i := range cellEntries {
 		s := dispatch.New(dispatch.Config{Name: fmt.Sprint(i), Zone: "a"})
 		s.SetTargets(start, targets(5, 6))
 		c.entries = append(c.entries, s)
@@ -53,29 +53,29 @@
 		for i := range c.entries {
 			if c.random.Float64() < 0.025 {
 				_, effects := c.entries[i].Submit(c.now, dispatch.Ask{
-					ID: fmt.Sprint(c.random.Int64()), Service: service, Class: "plain", Arrived: c.now, Expires: c.now.Add(patience),
+					ID: fmt.Sprint(c.random.Int64()), Service: service, Class: "plain", Arrived: c.now, Expires: c.now.Add(plainTimeout),
 				})
-				c.sent(i, effects, hangs)
+				c.addPending(i, effects, hangs)
 			}
 		}
-		c.settle(hangs)
+		c.finishDue(hangs)
 		if c.now.Sub(start)%(10*time.Millisecond) == 0 {
-			c.tell(hangs)
+			c.report(hangs)
 		}
 	}
 }
 
-func (c *cellLoad) sent(entry int, effects dispatch.Effects, hangs bool) {
+func (c *cellLoad) addPending(entry int, effects dispatch.Effects, hangs bool) {
 	for _, g := range effects.Grants {
 		answer := pendingAnswer{entry, c.now.Add(time.Duration(40+c.random.IntN(40)) * time.Millisecond), g.Ticket, dispatch.Report{Outcome: dispatch.Answered, Latency: 60 * time.Millisecond}}
 		if hangs && g.Target.ID == hanging {
-			answer.at, answer.report = c.now.Add(patience), dispatch.Report{Outcome: dispatch.TimedOut}
+			answer.at, answer.report = c.now.Add(plainTimeout), dispatch.Report{Outcome: dispatch.TimedOut}
 		}
 		c.pending = append(c.pending, answer)
 	}
 }
 
-func (c *cellLoad) settle(hangs bool) {
+func (c *cellLoad) finishDue(hangs bool) {
 	var rest []pendingAnswer
 	due := c.pending
 	c.pending = nil
@@ -89,27 +89,27 @@
 		} else {
 			c.answered++
 		}
-		c.sent(p.entry, c.entries[p.entry].Done(c.now, p.ticket, p.report), hangs)
+		c.addPending(p.entry, c.entries[p.entry].Done(c.now, p.ticket, p.report), hangs)
 	}
 	c.pending = append(c.pending, rest...)
 }
 
-func (c *cellLoad) tell(hangs bool) {
+func (c *cellLoad) report(hangs bool) {
 	for i, from := range c.entries {
 		load := from.OwnLoad(c.now)
 		for j, to := range c.entries {
 			if j != i {
-				c.sent(j, to.PeerLoad(c.now, fmt.Sprint(i), load), hangs)
+				c.addPending(j, to.PeerLoad(c.now, fmt.Sprint(i), load), hangs)
 			}
 		}
 	}
 }
 
-// One of five servers stops answering for seven seconds while its health check goes
-// on. Each request that it gets is lost. The entries that have seen it tell the
-// others, and it gets no more than a request now and then until it answers again;
-// each finding out alone, again and again, they lose 40.
-func TestSilentTargetIsToldToTheCell(t *testing.T) {
+// One of five servers stops answering for seven seconds while it passes its health
+// check. Each request sent there is lost. The entries that detect it report it to the
+// others, and it gets a single request now and then until it answers again. If each
+// entry has to detect it alone, again and again, they lose 40.
+func TestUnresponsiveTargetIsReportedToCell(t *testing.T) {
 	g := NewWithT(t)
 	c := newCellLoad()
 	c.run(3*time.Second, false)
@@ -119,16 +119,16 @@
 	g.Expect(c.answered).To(BeNumerically(">", 2700))
 }
 
-// A single entry whose own link loses packets sees many targets time out. The others,
-// which hear it tell so, go on using them.
-func TestOneEntrysTroubleIsNotBelieved(t *testing.T) {
+// A single entry whose own link loses packets reports many targets as unresponsive. The
+// others go on using them.
+func TestReportOfSingleEntryIsNotSufficient(t *testing.T) {
 	g := NewWithT(t)
 	c := newCellLoad()
-	told := dispatch.Load{Unresponsive: map[string]time.Duration{hanging: time.Second}}
-	c.entries[0].PeerLoad(c.now, "alone", told)
+	report := dispatch.Load{Unresponsive: map[string]time.Duration{hanging: time.Second}}
+	c.entries[0].PeerLoad(c.now, "alone", report)
 	seen := map[string]bool{}
 	for i := range 5 {
-		_, effects := c.entries[0].Submit(c.now, dispatch.Ask{ID: fmt.Sprint(i), Service: service, Arrived: c.now, Expires: c.now.Add(patience)})
+		_, effects := c.entries[0].Submit(c.now, dispatch.Ask{ID: fmt.Sprint(i), Service: service, Arrived: c.now, Expires: c.now.Add(plainTimeout)})
 		seen[effects.Grants[0].Target.ID] = true
 	}
 	g.Expect(seen).To(HaveKey(hanging))
--- a/internal/core/dispatch/work.go
+++ b/internal/core/dispatch/work.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Work is what a request asks of a target, as far as its caller declares it. Zero
-// fields say nothing.
+// Work is the size of a request, as far as its caller declares it. Zero
+// fields are undeclared.
 type Work struct {
 	// Prompt is the number of tokens to read, Output the expected number to generate.
 	Prompt, Output int
 }
 
-// class is what has been learned of requests of a class, for a target of mean speed.
+// class holds the measurements of requests of a class, scaled to a target of mean speed.
 type class struct {
-	// hold is the mean time that a request keeps a place, in ns.
+	// hold is the mean time that a request occupies a slot, in ns.
 	hold mean
 	// rank is the rank of its route.
 	rank int
 }
 
-// rates are the times for a token at a target of mean speed, in ns.
+// rates are the times per token at a target of mean speed, in ns.
 type rates struct{ prompt, output mean }
 
 func (p *pool) class(name string) *class {
@@ -32,7 +32,7 @@
 	return c
 }
 
-// learn takes what a whole answer took.
+// learn updates the pool with the measurements of a complete answer.
 func (p *pool) learn(ticket *Ticket, at *target, held time.Duration, report Report) {
 	if report.Outcome != Answered {
 		return
@@ -46,27 +46,27 @@
 	}
 }
 
-// first estimates the time to the first event at a target of mean speed.
-func (p *pool) first(work Work) time.Duration {
+// timeToFirst estimates the time to the first event at a target of mean speed.
+func (p *pool) timeToFirst(work Work) time.Duration {
 	if work.Prompt == 0 || p.rates.prompt.samples == 0 {
 		return 0
 	}
 	return time.Duration(float64(work.Prompt+PromptOverhead) * p.rates.prompt.value)
 }
 
-// expected estimates the whole time at a target of mean speed.
+// expected estimates the total time at a target of mean speed.
 func (p *pool) expected(ticket *Ticket) time.Duration {
 	work := ticket.Work
 	if work.Output > 0 && p.rates.output.samples > 0 {
-		return p.first(work) + time.Duration(float64(work.Output)*p.rates.output.value)
+		return p.timeToFirst(work) + time.Duration(float64(work.Output)*p.rates.output.value)
 	}
 	if c := p.class(ticket.Class); c.hold.samples > 0 {
 		return time.Duration(c.hold.value)
 	}
-	return unknownHold
+	return defaultHold
 }
 
-// mostUrgentRank is the most urgent rank among the classes that have been answered.
+// mostUrgentRank returns the most urgent rank among the classes with answered requests.
 func (p *pool) mostUrgentRank() int {
 	lowest := math.MaxInt
 	for _, c := range p.classes {
--- a/internal/core/dispatch/zones_test.go
+++ b/internal/core/dispatch/zones_test.go
@@ -10,15 +10,15 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// The fleet has five zones of unlike size, and engines spread evenly over them. Divided by
-// names alone each cell has entries and engines of all zones, so four in five requests,
-// with prompts of some kilobytes, and as many reports cross zones. Cells must keep to zones
-// and yet be of equal size, or some would have more callers for each engine than others.
+// The fleet has five zones of different size, and engines spread evenly over them. Divided
+// by name alone, each cell has entries and engines of all zones, so four in five requests,
+// with prompts of some kilobytes, and as many reports cross zones. Cells must follow zones
+// and still be of equal size, or some would have more callers per engine than others.
 func TestCellsKeepToZones(t *testing.T) {
 	g := NewWithT(t)
 	entriesIn := map[string]int{"cubao": 36, "ortigas": 35, "taft": 41, "monumento": 42, "alabang": 41}
 	targetsIn := map[string]int{"cubao": 32, "ortigas": 31, "taft": 31, "monumento": 31, "alabang": 31}
-	entries, targets := placed(entriesIn, "entry"), placed(targetsIn, "target")
+	entries, targets := members(entriesIn, "entry"), members(targetsIn, "target")
 	cells := dispatch.Cells(len(entries))
 	pairs, sameZone := 0, 0
 	for cell := range cells {
@@ -38,11 +38,11 @@
 }
 
 type member struct {
-	zone  string
-	place uint64
+	zone string
+	key  uint64
 }
 
-func placed(counts map[string]int, kind string) []member {
+func members(counts map[string]int, kind string) []member {
 	var members []member
 	for zone, count := range counts {
 		for i := range count {
@@ -50,7 +50,7 @@
 		}
 	}
 	slices.SortFunc(members, func(a, b member) int {
-		if a.place < b.place {
+		if a.key < b.key {
 			return -1
 		}
 		return 1
