--- a/internal/core/register/register.go
+++ b/internal/core/register/register.go
@@ -1,7 +1,7 @@
-// Package register keeps the targets that have registered themselves. A target
-// whose entry is dropped is gone, except after an outage of the store: entries
-// lapse while it is away, and a target that lives is back soon after. Until then
-// it is kept, or an outage of the store would take all targets away.
+// Package register holds the registered targets. A target whose registration is removed
+// is dropped, except after an outage of the store: registrations expire during the outage,
+// and a running target renews its own soon afterwards. Until then the target is kept, since
+// an outage of the store would otherwise remove all targets.
 //
 // Time is an argument. A Register is not safe for concurrent use.
 package register
@@ -15,43 +15,44 @@
 	"sycamoretrail/internal/core/catalog"
 )
 
-// lapseShare is the share of all targets that is dropped at once when entries lapse
-// in an outage. Fewer are real: a few targets that left while this entry was cut off
-// must not be kept.
-const lapseShare = 2.0 / 3
+// massExpiryShare is the share of all targets that is dropped at once when registrations
+// expire in an outage. A smaller share is treated as real departures: a few targets that
+// left while this entry was disconnected must not be kept.
+const massExpiryShare = 2.0 / 3
 
-// maxRemembered bounds the starts and departures that are remembered of targets that are
-// gone: some hundred restarts a day are usual, and old entries come late by seconds.
+// maxRemembered bounds the starts and departures remembered of targets that have ended:
+// some hundred restarts a day are typical, and old registrations arrive late by seconds.
 const maxRemembered = 4096
 
 // Register holds targets by id.
 type Register struct {
 	targets map[string]catalog.Target
-	// started is the latest start known of each id, also of those that are gone.
+	// started is the latest known start of each id, including ids that have ended.
 	started *bounded.Map[int64]
-	// lapsing holds until when a dropped target is kept.
-	lapsing map[string]time.Time
-	// departed holds the incarnations that leave for good, whatever later entries say.
+	// expiring holds the time until which a dropped target is kept.
+	expiring map[string]time.Time
+	// departed holds the incarnations that have announced their departure, which overrides
+	// later registrations.
 	departed *bounded.Map[bool]
-	// gone holds the incarnations whose entries have ended, restoredEnd the offset below which
-	// entries are from the copy that the store has come back from.
-	gone        *bounded.Map[bool]
+	// ended holds the incarnations whose registrations were removed, restoredEnd the offset
+	// below which registrations are from the copy that the store was restored from.
+	ended       *bounded.Map[bool]
 	restoredEnd int64
 }
 
-// New makes an empty register.
+// New returns an empty register.
 func New() *Register {
 	return &Register{
-		targets: make(map[string]catalog.Target), lapsing: make(map[string]time.Time),
+		targets: make(map[string]catalog.Target), expiring: make(map[string]time.Time),
 		started: bounded.New[int64](maxRemembered), departed: bounded.New[bool](maxRemembered),
-		gone: bounded.New[bool](maxRemembered),
+		ended: bounded.New[bool](maxRemembered),
 	}
 }
 
-// Put takes a target's entry; it reports whether anything that matters changed. An
-// entry of an earlier start than the latest known is of the past, in whatever order
-// snapshots, followed records and other entries' news bring it: put in force, requests
-// would go to a process that is gone, with what was learned of it.
+// Put records a target's registration and reports whether it changed the register. A
+// registration of an earlier start than the latest known one is outdated, in whatever order
+// snapshots, followed records and updates of other entries arrive: if it were applied,
+// requests would go to a process that has ended, with the measurements of that process.
 func (r *Register) Put(target catalog.Target) bool {
 	if target.StartedMS < r.started.Get(target.ID) {
 		return false
@@ -60,16 +61,17 @@
 		r.started.Put(target.ID, target.StartedMS)
 	}
 	target.Leaving = target.Leaving || r.departed.Get(target.Incarnation())
-	r.gone.Put(target.Incarnation(), false)
+	r.ended.Put(target.Incarnation(), false)
 	known, found := r.targets[target.ID]
-	_, lapsed := r.lapsing[target.ID]
-	delete(r.lapsing, target.ID)
+	_, expired := r.expiring[target.ID]
+	delete(r.expiring, target.ID)
 	r.targets[target.ID] = target
-	return !found || lapsed || known != target
+	return !found || expired || known != target
 }
 
-// Depart takes a target's own word that it leaves, which no entry takes back: while the
-// store is away the register shows the target as ready. It reports whether that is news.
+// MarkLeaving records a target's announcement that it leaves, which no registration revokes:
+// during an outage of the store the register shows the target as ready. It reports whether
+// the announcement is new.
 func (r *Register) Depart(target catalog.Target) bool {
 	incarnation := target.Incarnation()
 	if r.departed.Get(incarnation) {
@@ -83,9 +85,9 @@
 	return true
 }
 
-// Restore tells that the store has come back from an older copy, which ends at an offset. What
-// is known of targets that leave or are gone holds against the copy's entries: they may have
-// been written in the seconds that are lost.
+// SetRestored records that the store was restored from an older copy, which ends at an offset.
+// The known state of targets that are leaving or have ended overrides the registrations of
+// the copy, since it may have been written in the seconds that are lost.
 func (r *Register) Restore(end int64) {
 	r.restoredEnd = end
 	for _, target := range r.targets {
@@ -95,27 +97,28 @@
 	}
 }
 
-// Outdated reports whether an entry is of a copy that the store has come back from, and names
-// a target that is known to be gone. Once it writes its entry again, it is back.
+// IsStale reports whether a registration is from the copy that the store was restored from
+// and is of a target that is known to have ended. If the target registers again, it is
+// accepted.
 func (r *Register) Outdated(target catalog.Target, offset int64) bool {
-	return offset < r.restoredEnd && r.gone.Get(target.Incarnation())
+	return offset < r.restoredEnd && r.ended.Get(target.Incarnation())
 }
 
-// Get returns the known target of an id.
+// Get returns the known target with an id.
 func (r *Register) Get(id string) (catalog.Target, bool) {
 	target, found := r.targets[id]
 	return target, found
 }
 
-// Drop takes the end of an entry; before keepUntil the target may come back. It
-// reports whether the target was known.
+// Drop records the end of a registration; before keepUntil the target may register again.
+// It reports whether the target was known.
 func (r *Register) Drop(now time.Time, id string, keepUntil time.Time) bool {
 	if _, found := r.targets[id]; !found {
 		return false
 	}
 	if now.Before(keepUntil) {
-		if _, lapsed := r.lapsing[id]; !lapsed {
-			r.lapsing[id] = keepUntil
+		if _, expiring := r.expiring[id]; !expiring {
+			r.expiring[id] = keepUntil
 		}
 		return true
 	}
@@ -125,12 +128,12 @@
 
 func (r *Register) remove(id string) {
 	target := r.targets[id]
-	r.gone.Put(target.Incarnation(), true)
+	r.ended.Put(target.Incarnation(), true)
 	delete(r.targets, id)
-	delete(r.lapsing, id)
+	delete(r.expiring, id)
 }
 
-// Missing returns the known targets that are not among the ids.
+// Missing returns the ids of the known targets that are not in ids.
 func (r *Register) Missing(ids map[string]bool) []string {
 	var missing []string
 	for id := range r.targets {
@@ -141,15 +144,15 @@
 	return missing
 }
 
-// Lapse reports whether so many targets dropped at once have most likely lapsed.
+// IsMassExpiry reports whether so many targets dropped at once have most likely expired.
 func (r *Register) Lapse(dropped int) bool {
-	return dropped > 1 && float64(dropped) >= lapseShare*float64(len(r.targets))
+	return dropped > 1 && float64(dropped) >= massExpiryShare*float64(len(r.targets))
 }
 
-// Expire removes dropped targets that have not come back; next is when to call
-// again, zero: not before the next Drop.
+// Expire removes dropped targets that have not registered again; next is when to call
+// it again, zero if not before the next Drop.
 func (r *Register) Expire(now time.Time) (removed []string, next time.Time) {
-	for id, until := range r.lapsing {
+	for id, until := range r.expiring {
 		if !now.Before(until) {
 			r.remove(id)
 			removed = append(removed, id)
@@ -163,7 +166,7 @@
 	return removed, next
 }
 
-// Targets returns all targets by id.
+// Targets returns all targets, sorted by id.
 func (r *Register) Targets() []catalog.Target {
 	targets := make([]catalog.Target, 0, len(r.targets))
 	for _, target := range r.targets {
--- a/internal/core/register/register_test.go
+++ b/internal/core/register/register_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-func TestPutReportsOnlyWhatMatters(t *testing.T) {
+func TestPutReportsOnlyChanges(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(1)
 	target := catalog.Target{ID: "t-0", Address: "10.0.0.1:80"}
@@ -30,7 +30,7 @@
 	g.Expect(r.Put(target)).To(BeTrue())
 }
 
-func TestDropWithoutOutageIsAtOnce(t *testing.T) {
+func TestDropWithoutOutageTakesEffectAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(2)
 	g.Expect(r.Drop(now, "t-0", time.Time{})).To(BeTrue())
@@ -38,9 +38,9 @@
 	g.Expect(r.Drop(now, "t-0", time.Time{})).To(BeFalse())
 }
 
-// The store was away for longer than entries live, so all of them lapsed. Targets
-// that live come back within two seconds; the others are gone then.
-func TestLapsedTargetsAreKeptUntilTheyAreBackOrGone(t *testing.T) {
+// The store was unavailable for longer than registrations are valid, so all of them expired.
+// Running targets register again within two seconds; the others are removed then.
+func TestExpiredTargetsAreKeptUntilRenewedOrRemoved(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(3)
 	until := now.Add(2 * time.Second)
@@ -57,48 +57,48 @@
 	g.Expect(r.Targets()).To(HaveLen(1))
 }
 
-// An entry was cut off while a few of many targets left. Taken for lapses, they would
-// get requests for seconds after their notice.
-func TestFewDropsAreReal(t *testing.T) {
+// An entry was disconnected while a few of many targets left. If they were taken for expired
+// ones, they would receive requests for seconds after their departure.
+func TestFewDropsAreNotTreatedAsOutage(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(9)
 	g.Expect(r.Lapse(4)).To(BeFalse())
 	g.Expect(r.Lapse(6)).To(BeTrue())
-	g.Expect(filled(1).Lapse(1)).To(BeFalse(), "a single target that leaves is no outage")
+	g.Expect(filled(1).Lapse(1)).To(BeFalse(), "a single target that leaves is not an outage")
 }
 
 func TestMissing(t *testing.T) {
 	NewWithT(t).Expect(filled(2).Missing(map[string]bool{"t-1": true})).To(Equal([]string{"t-0"}))
 }
 
-// A server starts again under its id. The entry of its former process is read once
-// more afterwards, from an older snapshot or another entry's news. Put in force, it
-// would bring back an address where nothing runs, or a drain that is over.
-func TestEntryOfEarlierStartIsOfThePast(t *testing.T) {
+// A server starts again under its id. The registration of its previous process is read again
+// afterwards, from an older snapshot or an update of another entry. If it were applied, it
+// would restore an address where nothing runs, or a drain that has ended.
+func TestRegistrationOfEarlierStartIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	r := register.New()
-	former := catalog.Target{ID: "t-0", StartedMS: 1000, Address: "10.0.0.1:80", Leaving: true}
-	present := catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"}
-	unsaid := catalog.Target{ID: "t-0", Address: "10.0.0.3:80"}
-	g.Expect(r.Put(former)).To(BeTrue())
-	g.Expect(r.Put(present)).To(BeTrue())
-	g.Expect(r.Put(former)).To(BeFalse())
-	g.Expect(r.Put(unsaid)).To(BeFalse())
-	g.Expect(r.Targets()).To(Equal([]catalog.Target{present}))
+	previous := catalog.Target{ID: "t-0", StartedMS: 1000, Address: "10.0.0.1:80", Leaving: true}
+	current := catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"}
+	undeclared := catalog.Target{ID: "t-0", Address: "10.0.0.3:80"}
+	g.Expect(r.Put(previous)).To(BeTrue())
+	g.Expect(r.Put(current)).To(BeTrue())
+	g.Expect(r.Put(previous)).To(BeFalse())
+	g.Expect(r.Put(undeclared)).To(BeFalse())
+	g.Expect(r.Targets()).To(Equal([]catalog.Target{current}))
 }
 
-// The later process has ended too when the entry of the former one is read again.
-func TestEntryOfEarlierStartStaysOfThePastAfterDrop(t *testing.T) {
+// The later process has ended too when the registration of the previous one is read again.
+func TestRegistrationOfEarlierStartIsIgnoredAfterDrop(t *testing.T) {
 	g := NewWithT(t)
 	r := register.New()
 	r.Put(catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"})
 	r.Drop(now, "t-0", time.Time{})
 	g.Expect(r.Put(catalog.Target{ID: "t-0", StartedMS: 1000, Address: "10.0.0.1:80"})).To(BeFalse())
 	g.Expect(r.Targets()).To(BeEmpty())
-	g.Expect(r.Put(catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"})).To(BeTrue(), "it lapsed and is back")
+	g.Expect(r.Put(catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"})).To(BeTrue(), "expired and registered again")
 }
 
-// Ids come and go for months. What is remembered of those that are gone is bounded.
+// Ids change for months. The number remembered after their end is bounded.
 func TestRememberedStartsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	r := register.New()
@@ -111,9 +111,9 @@
 	g.Expect(r.Put(catalog.Target{ID: "t-4999", StartedMS: 1000})).To(BeFalse())
 }
 
-// Guards against a leaving target that the register brings back: its entry may be written
-// anew as ready, lapse while the store is away, or come late.
-func TestOwnWordThatATargetLeavesLasts(t *testing.T) {
+// Guards against a leaving target that the register restores: its registration may be written
+// again as ready, expire during an outage of the store, or arrive late.
+func TestAnnouncedDepartureLasts(t *testing.T) {
 	g := NewWithT(t)
 	r := register.New()
 	target := catalog.Target{ID: "t-1", Service: "desk", Slots: 4, StartedMS: 5}
@@ -130,21 +130,21 @@
 	g.Expect(leaves()).To(BeTrue(), "written again")
 	r.Drop(now, target.ID, time.Time{})
 	r.Put(target)
-	g.Expect(leaves()).To(BeTrue(), "gone and back")
+	g.Expect(leaves()).To(BeTrue(), "dropped and registered again")
 	target.StartedMS = 6
 	r.Put(target)
-	g.Expect(leaves()).To(BeFalse(), "a process that started again under the id")
+	g.Expect(leaves()).To(BeFalse(), "a process restarted under the id")
 }
 
 // Guards against targets that left or ended in the seconds that the store has lost: the copy
-// that it has come back from shows them as ready.
-func TestCopyOfTheStoreBringsNobodyBack(t *testing.T) {
+// that it was restored from shows them as ready.
+func TestRestoredStoreRevivesNoTarget(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(3)
 	leaving, ended := catalog.Target{ID: "t-0", Leaving: true}, catalog.Target{ID: "t-1"}
 	r.Put(leaving)
 	r.Drop(now, ended.ID, time.Time{})
-	g.Expect(r.Outdated(ended, 5)).To(BeFalse(), "nothing was restored")
+	g.Expect(r.Outdated(ended, 5)).To(BeFalse(), "the store was not restored")
 	r.Restore(10)
 	leaving.Leaving = false
 	r.Put(leaving)
@@ -153,6 +153,6 @@
 	g.Expect(r.Outdated(ended, 9)).To(BeTrue())
 	g.Expect(r.Outdated(ended, 10)).To(BeFalse(), "written again")
 	r.Put(ended)
-	g.Expect(r.Outdated(ended, 9)).To(BeFalse(), "it lives")
+	g.Expect(r.Outdated(ended, 9)).To(BeFalse(), "it registered again")
 	g.Expect(r.Outdated(catalog.Target{ID: "t-2"}, 9)).To(BeFalse())
 }
