--- a/internal/core/drain/drain.go
+++ b/internal/core/drain/drain.go
@@ -1,9 +1,9 @@
-// Package drain carries a planned stop through its stages. It cuts nothing: past
-// the bound it reports what is still held and goes on waiting.
+// Package drain runs the stages of a planned stop. It aborts nothing: after
+// the bound it reports what is still held and continues to wait.
 //
-// Invariants: the stage never goes back; new requests are taken until the last
-// answer to "which entry" that may name this one has lapsed; Drained is reached
-// only when nothing is in flight.
+// Invariants: the stage never goes back; new requests are accepted until the last
+// answer to a "which entry" lookup that may name this entry has expired; Drained
+// is reached only when nothing is in flight.
 package drain
 
 import "time"
@@ -12,18 +12,19 @@
 type Stage uint8
 
 const (
-	// Serving: no stop was asked for.
+	// Serving means that no stop was requested.
 	Serving Stage = iota
-	// Leaving: this entry no longer names itself in answers to "which entry" and
-	// says Draining in its heartbeats; its targets go to other schedulers. Peers
-	// that have not heard it yet may still name it.
+	// Leaving means that this entry no longer names itself in answers to "which entry"
+	// and reports Draining in its heartbeats; its targets move to other schedulers.
+	// Peers that have not received the report may still name it.
 	Leaving
-	// Taking: nobody names it any more; callers that hold an answer may still come.
+	// Taking means that no entry names it any more; callers that hold an answer may
+	// still send requests.
 	Taking
-	// Finishing: the last such answer has lapsed; new requests are refused
-	// "not run", what is in flight is finished.
+	// Finishing means that the last such answer has expired; new requests are refused
+	// as "not run", requests in flight are finished.
 	Finishing
-	// Drained: nothing is held and the process may exit.
+	// Drained means that nothing is held and the process may exit.
 	Drained
 )
 
@@ -42,56 +43,56 @@
 	return "drained"
 }
 
-// Config holds the times of a stop.
+// Config holds the periods of a stop.
 type Config struct {
-	// Settle is how long a peer may go on naming this entry: the silence limit,
-	// after which a peer that did not hear of the stop does not name it either.
+	// PeerTimeout is how long a peer may continue to name this entry: the failure-detection
+	// timeout, after which a peer that did not receive the report does not name it either.
 	Settle time.Duration
-	// AnswerTTL is how long an answer to "which entry" is good.
+	// AnswerTTL is how long an answer to "which entry" is valid.
 	AnswerTTL time.Duration
-	// Bound is when what is still held is reported.
+	// Bound is the time after which what is still held is reported as overdue.
 	Bound time.Duration
 }
 
-// Held is what an entry still holds.
+// Held counts what an entry still holds.
 type Held struct {
 	// InFlight counts requests accepted and not settled.
 	InFlight int
-	// Answers counts answers whose end has not left to its caller yet.
+	// Answers counts answers whose end has not been sent to the caller yet.
 	Answers int
-	// Targets counts targets scheduled here whose handover is not done.
+	// Targets counts targets scheduled here whose handover is not complete.
 	Targets int
-	// Appends counts log appends whose fate is not known yet.
+	// Appends counts log appends whose outcome is not known yet.
 	Appends int
 }
 
 func (h Held) empty() bool { return h == Held{} }
 
-// Report tells how a stop goes.
+// Report describes the progress of a stop.
 type Report struct {
 	Stage Stage
-	// Since is how long ago the stop was asked for, zero if it was not.
+	// Since is the time since the stop was requested, zero if it was not.
 	Since time.Duration
-	// Overdue: the bound has passed and something is still held.
+	// Overdue means that the bound has passed and something is still held.
 	Overdue bool
 	Held    Held
 }
 
 // Drain is the state of a planned stop. The zero value is not usable; see New.
 type Drain struct {
-	cfg     Config
-	stage   Stage
-	started time.Time
-	settled time.Time
-	lapsed  time.Time
-	held    Held
+	cfg             Config
+	stage           Stage
+	started         time.Time
+	unnamedAt       time.Time
+	answersExpireAt time.Time
+	held            Held
 }
 
-// New returns a drain that was not asked for yet.
+// New returns a drain whose stop has not been requested.
 func New(cfg Config) *Drain { return &Drain{cfg: cfg} }
 
-// Configure puts new times in force. During a stop the waits only grow: an
-// answer given out under the former settings is still good.
+// Configure applies new periods. During a stop they only extend its stages: an
+// answer given under the previous settings is still valid.
 func (d *Drain) Configure(cfg Config) {
 	d.cfg = cfg
 	if d.stage != Serving {
@@ -99,7 +100,7 @@
 	}
 }
 
-// Start asks for the stop; asking again changes nothing.
+// Start begins the stop; further calls change nothing.
 func (d *Drain) Start(now time.Time) {
 	if d.stage != Serving {
 		return
@@ -109,8 +110,8 @@
 }
 
 func (d *Drain) schedule() {
-	d.settled = later(d.settled, d.started.Add(d.cfg.Settle))
-	d.lapsed = later(d.lapsed, d.started.Add(d.cfg.Settle+d.cfg.AnswerTTL))
+	d.unnamedAt = later(d.unnamedAt, d.started.Add(d.cfg.Settle))
+	d.answersExpireAt = later(d.answersExpireAt, d.started.Add(d.cfg.Settle+d.cfg.AnswerTTL))
 }
 
 func later(a, b time.Time) time.Time {
@@ -120,13 +121,13 @@
 	return b
 }
 
-// Tick moves on as far as time and what is held allow, and returns the stage.
+// Tick advances the stage as far as time and held allow, and returns it.
 func (d *Drain) Tick(now time.Time, held Held) Stage {
 	d.held = held
-	if d.stage == Leaving && !now.Before(d.settled) {
+	if d.stage == Leaving && !now.Before(d.unnamedAt) {
 		d.stage = Taking
 	}
-	if d.stage == Taking && !now.Before(d.lapsed) {
+	if d.stage == Taking && !now.Before(d.answersExpireAt) {
 		d.stage = Finishing
 	}
 	if d.stage == Finishing && held.empty() {
@@ -135,7 +136,7 @@
 	return d.stage
 }
 
-// Stage is the stage as of the last Tick.
+// Stage returns the stage as of the last Tick.
 func (d *Drain) Stage() Stage { return d.stage }
 
 // NamesSelf reports whether answers to "which entry" may name this entry.
@@ -144,10 +145,10 @@
 // Schedules reports whether this entry may schedule targets.
 func (d *Drain) Schedules() bool { return d.stage == Serving }
 
-// Takes reports whether new requests are taken.
+// AcceptsRequests reports whether new requests are accepted.
 func (d *Drain) Takes() bool { return d.stage <= Taking }
 
-// Report tells how the stop goes.
+// Report returns the progress of the stop.
 func (d *Drain) Report(now time.Time) Report {
 	if d.stage == Serving {
 		return Report{Held: d.held}
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -27,19 +27,19 @@
 			Expect(d.Takes()).To(Equal(takes))
 		},
 		Entry("at once", time.Duration(0), drain.Held{}, drain.Leaving, true),
-		Entry("peers have heard", time.Second, drain.Held{}, drain.Taking, true),
-		Entry("nothing in flight, an answer still good", 5*time.Second, drain.Held{}, drain.Taking, true),
-		Entry("answers lapsed, one in flight", 6*time.Second, busy, drain.Finishing, false),
-		Entry("answers lapsed, an answer's end not sent", 6*time.Second, drain.Held{Answers: 1}, drain.Finishing, false),
-		Entry("answers lapsed, a target not handed over", 6*time.Second, drain.Held{Targets: 1}, drain.Finishing, false),
-		Entry("answers lapsed, an append not settled", 6*time.Second, drain.Held{Appends: 1}, drain.Finishing, false),
-		Entry("answers lapsed, nothing held", 6*time.Second, drain.Held{}, drain.Drained, false),
-		Entry("one in flight for long", time.Hour, busy, drain.Finishing, false),
+		Entry("peers informed", time.Second, drain.Held{}, drain.Taking, true),
+		Entry("nothing in flight, an answer still valid", 5*time.Second, drain.Held{}, drain.Taking, true),
+		Entry("answers expired, one in flight", 6*time.Second, busy, drain.Finishing, false),
+		Entry("answers expired, an answer's end not sent", 6*time.Second, drain.Held{Answers: 1}, drain.Finishing, false),
+		Entry("answers expired, a target not handed over", 6*time.Second, drain.Held{Targets: 1}, drain.Finishing, false),
+		Entry("answers expired, outcome of an append unknown", 6*time.Second, drain.Held{Appends: 1}, drain.Finishing, false),
+		Entry("answers expired, nothing held", 6*time.Second, drain.Held{}, drain.Drained, false),
+		Entry("one in flight for a long time", time.Hour, busy, drain.Finishing, false),
 	)
 
-	// A stream outlasts the drain bound. Its caller must get its whole answer:
-	// the entry reports what it holds, goes on, and is done only after the end.
-	It("cuts nothing after the bound", func() {
+	// A stream outlasts the drain bound. Its caller must receive the complete answer:
+	// the entry reports what it holds, continues, and is drained only after the end.
+	It("aborts nothing after the bound", func() {
 		d := drain.New(cfg)
 		d.Start(start)
 		d.Tick(start.Add(30*time.Second), busy)
@@ -51,9 +51,9 @@
 		Expect(d.Report(now).Overdue).To(BeFalse())
 	})
 
-	// The operator shortens the time for which answers are good during a stop.
-	// Answers given before are still good, so new requests must still be taken.
-	It("never shortens its waits", func() {
+	// The operator shortens the validity of answers during a stop. Answers given before
+	// are still valid, so new requests must still be accepted.
+	It("never shortens its stages", func() {
 		d := drain.New(cfg)
 		d.Start(start)
 		d.Configure(drain.Config{Bound: cfg.Bound})
