--- a/internal/core/bounded/bounded_test.go
+++ b/internal/core/bounded/bounded_test.go
@@ -9,7 +9,7 @@
 	"sycamoretrail/internal/core/bounded"
 )
 
-func TestOldestIsForgottenFirst(t *testing.T) {
+func TestOldestIsEvictedFirst(t *testing.T) {
 	g := NewWithT(t)
 	m := bounded.New[int](3)
 	for i := range 5 {
