--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what governs requests: routes, organisations, services
-// and limits, as one immutable snapshot, and the targets that serve them.
+// Package catalog defines the configuration of requests as one immutable snapshot
+// (routes, organisations, services and limits), and the targets that serve them.
 package catalog
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Kind says what of a request may be repeated.
+// Kind states whether a request may be repeated.
 type Kind uint8
 
 const (
@@ -17,7 +17,7 @@
 	Unsafe Kind = iota
 	// Safe requests are idempotent.
 	Safe
-	// Stream answers with numbered events; idempotent only where it may be resumed.
+	// Stream requests return numbered events; they are idempotent only if resumable.
 	Stream
 )
 
@@ -38,21 +38,21 @@
 	// Shares is never empty; most routes have one.
 	Shares []Share
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting; 0: no limit.
+	// Timeout is the longest time that a caller waits; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the latency up to which an answer has its full worth, for
-	// streams up to the first event; 0: none declared.
+	// Objective is the latency up to which an answer has its full value, for
+	// streams that of the first event; 0 means none declared.
 	Objective time.Duration
 	// Gap is the longest pause between two events of a stream up to which an answer
-	// has its full worth; 0: none declared.
+	// has its full value; 0 means none declared.
 	Gap time.Duration
 	// Attempts is the number of targets that one request may be sent to, at least 1.
 	Attempts int
-	// Priority is the rank of importance; 0 is the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams go on at another target after the last event received.
+	// Resumable streams continue at another target after the last event received.
 	Resumable bool
 }
 
@@ -61,7 +61,7 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Service picks the service for a draw from [0, 1).
+// Service returns the service for a random number in [0, 1).
 func (r *Route) Service(draw float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
@@ -76,18 +76,18 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Organisation is who sends requests.
+// Organisation is a tenant that sends requests.
 type Organisation struct {
 	Name string
 	Keys []string
 	// Rate and Burst limit the organisation over all entries, in units of cost
-	// per second and units of cost; Rate 0: no limit.
+	// per second and units of cost; a Rate of 0 means no limit.
 	Rate, Burst float64
-	// CountsTokens: cost is counted in tokens, otherwise in requests.
+	// CountsTokens means that cost is counted in tokens instead of requests.
 	CountsTokens bool
 	// PlainCost is the cost of a request that declares no tokens.
 	PlainCost float64
-	// Priority goes before the route's; nil: the route's holds.
+	// Priority overrides that of the route unless it is nil.
 	Priority *int
 }
 
@@ -96,7 +96,7 @@
 	BodyBytes int
 }
 
-// Configuration is one version of the operators' intent.
+// Configuration is one version of the configuration.
 type Configuration struct {
 	Version       int64
 	Routes        []Route
@@ -107,7 +107,7 @@
 	byKey  map[string]*Organisation
 }
 
-// Index prepares the look-ups; call it once before the snapshot is shared.
+// Index builds the indexes for look-ups; call it once before the snapshot is shared.
 func (c *Configuration) Index() {
 	c.byHost = make(map[string][]*Route)
 	for i := range c.Routes {
@@ -135,37 +135,37 @@
 	return nil, false
 }
 
-// Holder returns the organisation that holds a key.
+// OrganisationByKey returns the organisation that has a key.
 func (c *Configuration) Holder(key string) (*Organisation, bool) {
 	organisation, found := c.byKey[key]
 	return organisation, found
 }
 
-// HasOrganisations reports whether callers have to show keys at all.
+// HasOrganisations reports whether callers have to send keys at all.
 func (c *Configuration) HasOrganisations() bool { return len(c.Organisations) > 0 }
 
-// Target is one running server of a service, as it registered itself.
+// Target is a running server of a service, as it registered itself.
 type Target struct {
-	// ID is the server's name. A server may start again under the one that it had.
+	// ID is the server's name. A restarted server may use its previous id.
 	ID string
-	// StartedMS is when the process started, in Unix milliseconds by the server's clock; 0:
-	// the server does not say.
+	// StartedMS is when the process started, in Unix milliseconds by the server's clock; 0
+	// means undeclared.
 	StartedMS int64
 	Service   string
 	// Address is IP:port; another service may get it after the target has ended.
 	Address string
 	Zone    string
-	// Version is the version of the server's software; empty: it does not say.
+	// Version is the version of the server's software; empty means undeclared.
 	Version string
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 	// Leaving targets get no new requests.
 	Leaving bool
 }
 
-// Incarnation names one process of the server. A process that starts again under the
-// same id knows nothing of before: what was learned or is held by target, its speed,
-// failures, requests in flight and where a request has been tried, is held by this name.
+// Incarnation returns the name of one process of the server. A process that restarts under
+// the same id has no state of the previous one, so all state kept by target (speed, failures,
+// requests in flight, and where a request has been tried) is keyed by this name.
 func (t *Target) Incarnation() string {
 	if t.StartedMS == 0 {
 		return t.ID
