--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -1,7 +1,7 @@
 // Package ident names entry processes and the requests that they own.
 //
-// A request id carries the incarnation that may dispatch it, so ownership needs
-// no lookup and no agreement: whoever holds the id knows whom to ask.
+// A request id contains the incarnation that may dispatch it, so the owner of a
+// request is found from its id without a lookup or agreement.
 package ident
 
 import (
@@ -20,10 +20,10 @@
 // periods since the incarnation started; the suffix is the caller's own.
 type RequestID string
 
-// Prefix is "<incarnation>.<epoch>.", what a caller puts before its own suffix.
+// Prefix is "<incarnation>.<epoch>.", to which a caller appends its own suffix.
 type Prefix string
 
-// MaxRequestIDLength bounds what a caller may send as an id, in bytes.
+// MaxRequestIDLength is the maximum length of a request id from a caller, in bytes.
 const MaxRequestIDLength = 128
 
 // ErrMalformed is wrapped by every error that Parse returns.
@@ -35,7 +35,7 @@
 	return Incarnation(fmt.Sprintf("%016x-%x", random, startUnix))
 }
 
-// PrefixFor forms the prefix that an incarnation hands out during an epoch.
+// PrefixFor forms the prefix that an incarnation issues during an epoch.
 func PrefixFor(owner Incarnation, epoch uint32) Prefix {
 	return Prefix(string(owner) + "." + strconv.FormatUint(uint64(epoch), 10) + ".")
 }
@@ -52,7 +52,7 @@
 	Suffix string
 }
 
-// Parse splits a request id; the error says what is wrong with it.
+// Parse splits a request id; the error states what is wrong with it.
 func Parse(id RequestID) (Parts, error) {
 	if len(id) > MaxRequestIDLength {
 		return Parts{}, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, MaxRequestIDLength)
