--- a/internal/core/dispatch/peers.go
+++ b/internal/core/dispatch/peers.go
@@ -36,10 +36,10 @@
 	Unresponsive map[string]time.Duration
 }
 
-// reportCheckInterval is the minimum time between two checks of a queue that reports cause. Under
-// overload each of a dozen entries sends a hundred reports a second, and checking the queues
-// for each report took most of an entry's time. A slot reported in between is found by the
-// next check, at most half a turnDelay later.
+// reportCheckInterval is the minimum time between two checks of a queue that are triggered by
+// reports. Under overload each of a dozen entries sends a hundred reports a second, and checking
+// the queues for each report took most of an entry's time. A slot reported in between is found
+// by the next check, at most half a turnDelay later.
 const reportCheckInterval = turnDelay / 2
 
 // SetPeerLoad applies a peer's report, which replaces its previous one.
@@ -57,7 +57,7 @@
 	return effects
 }
 
-// RemovePeer removes the report of a peer whose process has ended, and its requests with it.
+// RemovePeer removes the report of a peer whose process, and therefore its requests, have ended.
 func (s *Scheduler) PeerGone(now time.Time, peer string) Effects {
 	delete(s.peers, peer)
 	return s.Tick(now)
--- a/internal/core/dispatch/precedence.go
+++ b/internal/core/dispatch/precedence.go
@@ -32,8 +32,8 @@
 // hasPrecedence reports whether this entry may send the ticket to a free slot now.
 // When an entry releases a slot, all others of the cell with waiting requests receive
 // the report at the same time. If all of them took it, the target would get ten requests for
-// one slot: with 78 entries under overload, targets held 1.4 requests per slot, and
-// those shared by all cells filled their own queues completely. So the entries take turns:
+// one slot: with 78 entries under overload, targets held 1.4 requests per slot, and the
+// queues of those shared by all cells were full. So the entries take turns:
 // those with more urgent requests go first, since otherwise each entry would use the slots
 // that it frees itself for its less urgent requests; those with equally urgent ones follow in
 // an order that differs by target. An entry takes a slot that it has released itself at once
--- a/internal/core/register/register_test.go
+++ b/internal/core/register/register_test.go
@@ -98,7 +98,7 @@
 	g.Expect(r.Put(catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"})).To(BeTrue(), "expired and registered again")
 }
 
-// Ids change for months. The number remembered after their end is bounded.
+// New ids appear over months. What is remembered of ended ones is bounded.
 func TestRememberedStartsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	r := register.New()
