--- a/internal/core/routing/able.go
+++ b/internal/core/routing/able.go
@@ -2,48 +2,49 @@
 
 import "sycamoretrail/internal/core/request"
 
-// hopelessMargin is how many times the time left the least possible time must be.
-const hopelessMargin = 1.5
+// infeasibleMargin is the factor by which the lowest possible time must exceed the
+// remaining time for an immediate refusal.
+const infeasibleMargin = 1.5
 
-// ableFilter drops targets that could not finish in time with no queue at all.
+// feasibleFilter drops targets that could not finish in time even with an empty queue.
 //
-// Failure: a long brief starts on a target too slow for its deadline. Symptom:
-// the prefill is computed and thrown away. The bare speed suffices as a bound,
-// because no tier, displacement or preemption makes a target faster than that.
-type ableFilter struct {
-	// early applies the filter to short requests too, as the document says.
+// Without it, a long prompt starts on a target that is too slow for its deadline, and
+// its prefill is computed in vain. The unloaded speed suffices as a bound, because no
+// tier, displacement or preemption makes a target faster than that.
+type feasibleFilter struct {
+	// early applies the filter to short requests too, as configured by the document.
 	early bool
 }
 
-func (f *ableFilter) keep(q *query, c *candidate) bool {
+func (f *feasibleFilter) keep(q *query, c *candidate) bool {
 	if !f.early && !q.long {
 		return true
 	}
 	first := c.prefill + c.view.step
-	return first <= q.firstBy && first+decode(q, c) <= q.remaining
+	return first <= q.firstRemaining && first+decodeTime(q, c) <= q.remaining
 }
 
-// infeasible reports, without a look at each target, that even the best speeds of
-// the pool put together would miss the deadline by a wide margin. The margin
-// covers what changed since the pool's last refresh.
-func (f *ableFilter) infeasible(q *query) bool {
-	if !f.early && !q.long || q.pool.topRate == 0 {
+// infeasible reports, without examining each target, whether the best speeds of the
+// pool combined would miss the deadline by a wide margin. The margin covers what has
+// changed since the last refresh of the pool.
+func (f *feasibleFilter) infeasible(q *query) bool {
+	if !f.early && !q.long || q.pool.maxPrefillRate == 0 {
 		return false
 	}
 	prompt := float64(q.req.PromptTokens)
 	for i := range q.cached {
 		prompt = min(prompt, float64(q.req.PromptTokens)-q.cached[i].tokens)
 	}
-	least := q.pool.leastStep * float64(max(q.tokens, 1))
+	least := q.pool.minStep * float64(max(q.answerTokens, 1))
 	if q.req.Kind == request.Engine {
-		least += max(prompt, 0) / q.pool.topRate
+		least += max(prompt, 0) / q.pool.maxPrefillRate
 	}
-	return least > hopelessMargin*q.remaining
+	return least > infeasibleMargin*q.remaining
 }
 
-func (*ableFilter) status() Status { return NoneInTime }
+func (*feasibleFilter) status() Status { return NoneInTime }
 
-// decode is the seconds from the first token to the last.
-func decode(q *query, c *candidate) float64 {
-	return float64(max(q.tokens-1, 0)) * c.view.step
+// decodeTime returns the seconds from the first token to the last.
+func decodeTime(q *query, c *candidate) float64 {
+	return float64(max(q.answerTokens-1, 0)) * c.view.step
 }
--- a/internal/core/routing/alone.go
+++ b/internal/core/routing/alone.go
@@ -6,9 +6,9 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// TwoChoices is the baseline of an entry that decides alone: the less loaded
-// of two random targets by their last load reports, with no digests, estimates
-// or affinity.
+// TwoChoices returns the less loaded of two random targets according to their last load
+// reports. Entries use it when they decide independently, without schedulers; it uses
+// no digests, estimates or affinity.
 func (r *Router) TwoChoices(now time.Time, req *request.Request, exclude func(target string) bool) (string, Status) {
 	p := r.pools[req.Pool]
 	switch {
@@ -28,7 +28,8 @@
 	return first.name, Chosen
 }
 
-// randomTarget takes the first fit target from a random place on, other than one.
+// randomTarget returns the first eligible target other than one, starting from a random
+// position in the pool.
 func (r *Router) randomTarget(p *pool, req *request.Request, exclude func(string) bool, other *target) (*target, Status) {
 	status := EmptyPool
 	at := r.random.IntN(len(p.targets))
@@ -39,7 +40,7 @@
 		case !t.reachable || t.leaving:
 			status = max(status, NoneAvailable)
 		case exclude != nil && exclude(t.name):
-			status = max(status, NoneLeft)
+			status = max(status, AllExcluded)
 		default:
 			return t, Chosen
 		}
@@ -48,7 +49,7 @@
 }
 
 func (t *target) reportedLoad(now time.Time) float64 {
-	if !t.hasReport || now.Sub(t.reportAt) >= reportGood {
+	if !t.hasReport || now.Sub(t.reportAt) >= reportValidity {
 		return 0
 	}
 	return float64(t.running+t.waiting) / float64(t.prior.limit)
--- a/internal/core/routing/available.go
+++ b/internal/core/routing/available.go
@@ -1,7 +1,8 @@
 package routing
 
-// availableFilter drops targets that may get nothing new: leaving by the
-// document, unreachable or leaving by the probes, unavailable by the digest.
+// availableFilter drops targets that accept no new requests: those that leave according
+// to the document, those that probes found unreachable or leaving, and those whose
+// digest says that they are unavailable.
 type availableFilter struct{}
 
 func (availableFilter) keep(_ *query, c *candidate) bool {
--- a/internal/core/routing/bench_test.go
+++ b/internal/core/routing/bench_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// benchmarkLoad is what a request brings and what it meets.
+// benchmarkLoad is a kind of request and the state of the targets.
 type benchmarkLoad struct {
 	name       string
 	prompt     int
 	wait       time.Duration // of every target's queue
-	left       time.Duration
+	remaining  time.Duration
 	infeasible bool
 }
 
-// BenchmarkChoose is one choice against the size of the pool, with the pool's
-// refreshes at 50 choices a second (410 owners at 20,000 requests a second) and
-// every digest renewed each half second (not timed).
+// BenchmarkChoose measures one choice by the size of the pool, with the pool's
+// refreshes at 50 choices a second (410 owners at 20,000 requests a second). Every
+// digest is renewed each half second, which is not timed.
 func BenchmarkChoose(b *testing.B) {
 	loads := []benchmarkLoad{
-		{name: "short", prompt: 200, left: 10 * time.Second},
-		{name: "long", prompt: 12800, left: 10 * time.Second},
-		{name: "late", prompt: 200, wait: time.Minute, left: 10 * time.Second},
-		{name: "infeasible", prompt: 200, left: time.Millisecond, infeasible: true},
-		{name: "rare", prompt: 40000, left: 4 * time.Second},
-		{name: "scanned", prompt: 200, left: 990 * time.Millisecond, infeasible: true},
+		{name: "short", prompt: 200, remaining: 10 * time.Second},
+		{name: "long", prompt: 12800, remaining: 10 * time.Second},
+		{name: "late", prompt: 200, wait: time.Minute, remaining: 10 * time.Second},
+		{name: "infeasible", prompt: 200, remaining: time.Millisecond, infeasible: true},
+		{name: "rare", prompt: 40000, remaining: 4 * time.Second},
+		{name: "scanned", prompt: 200, remaining: 990 * time.Millisecond, infeasible: true},
 	}
 	for _, load := range loads {
 		for _, size := range []int{10, 50, 250, 1000, 1800} {
@@ -39,9 +39,9 @@
 
 func benchmarkChoose(b *testing.B, load benchmarkLoad, size int) {
 	r := routerFor(poolOf(size, size/3), 1)
-	req := prefixed(ask(load.prompt, 50), 1, 100)
-	for i := range prefixHolders {
-		r.Dispatched(start, named(i), req)
+	req := prefixed(newRequest(load.prompt, 50), 1, 100)
+	for i := range holdersPerPrefix {
+		r.Dispatched(start, targetName(i), req)
 	}
 	now := start
 	b.ReportAllocs()
@@ -49,19 +49,19 @@
 		now = now.Add(20 * time.Millisecond)
 		if i%25 == 0 {
 			b.StopTimer()
-			renew(r, now, size, load.wait)
+			renewDigests(r, now, size, load.wait)
 			b.StartTimer()
 		}
-		req.Deadline = now.Add(load.left)
+		req.Deadline = now.Add(load.remaining)
 		if _, status := r.Choose(now, req, nil); status.OK() == load.infeasible {
 			b.Fatal(status)
 		}
 	}
 }
 
-func renew(r *Router, now time.Time, size int, wait time.Duration) {
+func renewDigests(r *Router, now time.Time, size int, wait time.Duration) {
 	for i := range size {
-		d := digest(named(i), i%16, 16)
+		d := digest(targetName(i), i%16, 16)
 		if wait > 0 {
 			d.InFlight, d.Wait = 16, wait
 		}
@@ -79,7 +79,7 @@
 
 func BenchmarkDispatched(b *testing.B) {
 	r := routerFor(poolOf(250, 80), 1)
-	req := prefixed(ask(12800, 50), 1, 40)
+	req := prefixed(newRequest(12800, 50), 1, 40)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Dispatched(start, "t7", req)
@@ -104,7 +104,7 @@
 		runtime.ReadMemStats(&before)
 		r := routerFor(poolOf(1800, 600), 1)
 		for i := range 3000 {
-			r.Dispatched(start, named(i%1800), prefixed(ask(25600, 20), uint64(i), 200))
+			r.Dispatched(start, targetName(i%1800), prefixed(newRequest(25600, 20), uint64(i), 200))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -8,31 +8,34 @@
 )
 
 const (
-	// scoreAll is the size up to which every target of a pool is scored.
-	scoreAll = 16
-	// drawBest candidates are drawn from the pool's best (drawBestLong for a long
-	// prompt), drawNear from the owner's zone, drawAny from the whole pool; those
-	// that hold a prefix of the prompt come on top. All owners have the same best
-	// ones, so more draws from there bring herds.
+	// scoreAllSize is the largest pool of which every target is scored.
+	scoreAllSize = 16
+	// drawBest candidates are drawn from the pool's best targets (drawBestLong for a
+	// long prompt), drawSameZone from the owner's zone and drawAny from the whole pool,
+	// in addition to the targets that hold a prefix of the prompt. All owners have
+	// nearly the same best targets, so more draws from these would make them converge
+	// on a few.
 	drawBest     = 1
 	drawBestLong = 4
-	drawNear     = 3
+	drawSameZone = 3
 	drawAny      = 3
-	// widenTo candidates are added when none of the sample is in time and has a
-	// place: half from the top of the pool's best, half from anywhere. All are scored only when the filters left none, so
-	// that a choice stays cheap in an overload.
-	widenTo = 16
+	// extraCandidates are added if no sampled target is in time and has a free slot:
+	// half from the top of the pool's best targets, half from the whole pool. All
+	// targets are scored only if the filters left none, so that a choice remains cheap
+	// under overload.
+	extraCandidates = 16
 )
 
-// Choose names the target that a request should ask for a place at. exclude
-// rules targets out (nil: none); Status says why none was found.
+// Choose returns the target whose scheduler should be offered the request. Targets for
+// which exclude returns true are skipped; exclude may be nil. The Status gives the
+// reason if there is no target.
 func (r *Router) Choose(now time.Time, req *request.Request, exclude func(target string) bool) (string, Status) {
-	q, status := r.ask(now, req, exclude)
+	q, status := r.newQuery(now, req, exclude)
 	if !status.OK() {
 		return "", status
 	}
 	q.pool.refresh(now)
-	if r.able.infeasible(q) {
+	if r.feasible.infeasible(q) {
 		return "", NoneInTime
 	}
 	if t := r.trial(q); t != nil {
@@ -51,16 +54,16 @@
 	return c.target.name, Chosen
 }
 
-// Last reports whether at most one target of the pool is left for the request,
-// so that its refusal is the last word.
+// LastCandidate reports whether at most one target of the pool remains for the request,
+// so that a refusal by that target is final.
 func (r *Router) Last(now time.Time, req *request.Request, exclude func(target string) bool) bool {
-	q, status := r.ask(now, req, exclude)
+	q, status := r.newQuery(now, req, exclude)
 	if !status.OK() {
 		return true
 	}
 	left := 0
 	for _, t := range q.pool.targets {
-		if r.admits(q, r.look(t)) {
+		if r.admits(q, r.singleCandidate(t)) {
 			left++
 		}
 		if left > 1 {
@@ -70,8 +73,8 @@
 	return true
 }
 
-// ask forms the query of a request.
-func (r *Router) ask(now time.Time, req *request.Request, exclude func(string) bool) (*query, Status) {
+// newQuery prepares the query of a request. The result is valid until the next call.
+func (r *Router) newQuery(now time.Time, req *request.Request, exclude func(string) bool) (*query, Status) {
 	p := r.pools[req.Pool]
 	switch {
 	case p == nil:
@@ -81,10 +84,10 @@
 	}
 	q := &r.query
 	q.now, q.req, q.exclude, q.pool, q.zone = now, req, exclude, p, r.zone
-	q.tokens = p.answers.Expect(req.MaxTokens)
+	q.answerTokens = p.answers.Expect(req.MaxTokens)
 	q.remaining = secondsUntil(now, req.Deadline)
-	q.firstBy = secondsUntil(now, req.FirstTokenBy)
-	q.tierShare = float64(req.Tier+1) / float64(max(r.tiers, int(req.Tier)+1))
+	q.firstRemaining = secondsUntil(now, req.FirstTokenBy)
+	q.tierWaitShare = float64(req.Tier+1) / float64(max(r.tiers, int(req.Tier)+1))
 	q.long = r.shortPrompt > 0 && req.PromptTokens > r.shortPrompt
 	q.cached = q.cached[:0]
 	if req.Kind == request.Engine {
@@ -100,31 +103,31 @@
 	return then.Sub(now).Seconds()
 }
 
-// draw fills candidates with a sample of a large pool, a wider one if none of
-// the first is in time and has a place.
+// draw fills candidates with a sample of a large pool, and extends the sample if none
+// of it is in time and has a free slot.
 func (r *Router) draw(q *query) {
 	r.choices++
 	r.candidates = r.candidates[:0]
-	if len(q.pool.targets) <= scoreAll {
+	if len(q.pool.targets) <= scoreAllSize {
 		return
 	}
 	for i := range q.cached {
-		r.take(q, q.cached[i].target)
+		r.addCandidate(q, q.cached[i].target)
 	}
 	best, draws := q.pool.best[listShort], drawBest
 	if q.long {
 		best, draws = q.pool.best[listLong], drawBestLong
 	}
 	r.drawFrom(q, best, draws)
-	r.drawFrom(q, q.pool.near, drawNear)
+	r.drawFrom(q, q.pool.sameZone, drawSameZone)
 	r.drawFrom(q, q.pool.targets, drawAny)
 	if r.anyFit(q) {
 		return
 	}
-	for _, t := range best[:min(widenTo/2, len(best))] {
-		r.take(q, t)
+	for _, t := range best[:min(extraCandidates/2, len(best))] {
+		r.addCandidate(q, t)
 	}
-	r.drawFrom(q, q.pool.targets, widenTo/2)
+	r.drawFrom(q, q.pool.targets, extraCandidates/2)
 }
 
 func (r *Router) anyFit(q *query) bool {
@@ -142,12 +145,13 @@
 		return
 	}
 	for range n {
-		r.take(q, from[r.random.IntN(len(from))])
+		r.addCandidate(q, from[r.random.IntN(len(from))])
 	}
 }
 
-// take makes a target a candidate unless it is one or the filters drop it.
-func (r *Router) take(q *query, t *target) {
+// addCandidate filters and scores a target and adds it to the candidates, unless it has
+// been drawn before or a filter drops it.
+func (r *Router) addCandidate(q *query, t *target) {
 	if t.drawn == r.choices {
 		return
 	}
@@ -158,17 +162,17 @@
 	}
 }
 
-// scan makes every target that the filters keep a candidate; if none, the
-// status is that of the filter that the targets came furthest to.
+// scan makes every target that passes the filters a candidate. If there is none, it
+// returns the status of the last filter that any target reached.
 func (r *Router) scan(q *query) Status {
 	r.candidates = r.candidates[:0]
 	furthest := 0
 	for _, t := range q.pool.targets {
 		r.candidates = append(r.candidates, candidate{target: t})
 		c := &r.candidates[len(r.candidates)-1]
-		stage := r.passed(q, c)
+		stage := r.filtersPassed(q, c)
 		if stage == len(r.filters) {
-			r.rate(q, c)
+			r.scoreCandidate(q, c)
 			continue
 		}
 		furthest = max(furthest, stage)
@@ -180,30 +184,31 @@
 	return Chosen
 }
 
-// consider filters and scores a candidate.
+// consider scores a candidate and reports whether it passes the filters.
 func (r *Router) consider(q *query, c *candidate) bool {
 	if !r.admits(q, c) {
 		return false
 	}
-	r.rate(q, c)
+	r.scoreCandidate(q, c)
 	return true
 }
 
-// look makes a target the one candidate of a question beside a choice.
-func (r *Router) look(t *target) *candidate {
+// singleCandidate returns a candidate for a target that is evaluated outside of the
+// sample.
+func (r *Router) singleCandidate(t *target) *candidate {
 	r.single = candidate{target: t}
 	return &r.single
 }
 
 func (r *Router) admits(q *query, c *candidate) bool {
-	return r.passed(q, c) == len(r.filters)
+	return r.filtersPassed(q, c) == len(r.filters)
 }
 
-// passed is how many filters, in order, keep the candidate.
-func (r *Router) passed(q *query, c *candidate) int {
+// filtersPassed returns the number of filters, in order, that keep the candidate.
+func (r *Router) filtersPassed(q *query, c *candidate) int {
 	c.view = c.target.view(q.now)
 	affinity{}.credit(q, c)
-	c.prepare(q)
+	c.estimatePrefill(q)
 	for i, f := range r.filters {
 		if !f.keep(q, c) {
 			return i
@@ -212,7 +217,7 @@
 	return len(r.filters)
 }
 
-func (r *Router) rate(q *query, c *candidate) {
+func (r *Router) scoreCandidate(q *query, c *candidate) {
 	c.cost, c.preference = 0, 0
 	for _, s := range r.scorers {
 		s.score(q, c)
--- a/internal/core/routing/excluded.go
+++ b/internal/core/routing/excluded.go
@@ -1,11 +1,11 @@
 package routing
 
-// excludedFilter drops what the caller rules out: targets tried before, or
-// where a suspect must not run.
+// excludedFilter drops targets that the caller excludes: those that were tried before,
+// or on which a suspect must not run.
 type excludedFilter struct{}
 
 func (excludedFilter) keep(q *query, c *candidate) bool {
 	return q.exclude == nil || !q.exclude(c.target.name)
 }
 
-func (excludedFilter) status() Status { return NoneLeft }
+func (excludedFilter) status() Status { return AllExcluded }
--- a/internal/core/routing/finish.go
+++ b/internal/core/routing/finish.go
@@ -2,68 +2,68 @@
 
 import "sycamoretrail/internal/core/request"
 
-// decodeWeight is how much a second of decoding counts beside one of waiting, for
-// short requests. A
-// place that is free now on a slower target keeps the faster one's queue short
-// for a burst; the bounds decide whether the slower one is fast enough.
+// decodeWeight is the weight of a second of decoding relative to a second of waiting,
+// for short requests. Using a free slot on a slower target keeps the queue of the
+// faster one short for a burst; the deadlines decide whether the slower target is fast
+// enough.
 const decodeWeight = 0.05
 
-// finishScorer counts the estimated time to the whole answer: wait, prefill of
-// what is queued before it and of its own prompt, decode.
+// finishScorer adds the estimated time to the complete answer: waiting, prefill of the
+// prompts queued before it and of its own, and decoding.
 type finishScorer struct{}
 
 func (finishScorer) score(q *query, c *candidate) {
 	c.first = queueTime(q, c) + c.prefill + c.view.step
-	c.finish = c.first + decode(q, c)
+	c.finish = c.first + decodeTime(q, c)
 	if q.long {
 		c.cost += c.finish
 		return
 	}
-	c.cost += c.first + decodeWeight*decode(q, c)
+	c.cost += c.first + decodeWeight*decodeTime(q, c)
 }
 
-// prepare estimates the request's own prefill at the candidate.
-func (c *candidate) prepare(q *query) {
+// estimatePrefill estimates the prefill time of the request at the candidate.
+func (c *candidate) estimatePrefill(q *query) {
 	if q.req.Kind == request.Service {
 		c.prefill = 0
 		return
 	}
-	c.prefill = max(float64(q.req.PromptTokens)-c.cached, 0) / c.view.rate
+	c.prefill = max(float64(q.req.PromptTokens)-c.cached, 0) / c.view.prefillRate
 }
 
-// queueTime is the wait for a place or for the prompts ahead, whichever is
-// longer; the prompts ahead are computed while the request waits for a place.
+// queueTime returns the longer of the wait for a slot and the prefill time of the
+// prompts ahead. These are computed while the request waits for a slot.
 func queueTime(q *query, c *candidate) float64 {
 	v := &c.view
-	ahead := v.prefill / v.rate
+	ahead := v.pendingPrefill / v.prefillRate
 	if q.long {
-		ahead += v.waiting / v.rate
+		ahead += v.waitingPrefill / v.prefillRate
 	}
 	if q.req.Kind == request.Service {
 		ahead = 0
 	}
-	return max(placeWait(q, v), ahead)
+	return max(slotWait(q, v), ahead)
 }
 
-// placeWait is the wait for a place. What came since the digest beyond the
-// limit waits one service time for each limit of it.
-func placeWait(q *query, v *view) float64 {
+// slotWait returns the wait for a slot. Requests placed since the digest beyond the
+// limit add one service time for each full limit of them.
+func slotWait(q *query, v *view) float64 {
 	over := v.inFlight + 1 - v.limit
 	if over <= 0 {
 		return 0
 	}
-	service := v.step * float64(max(q.tokens, 1))
+	service := v.step * float64(max(q.answerTokens, 1))
 	if tier := int(q.req.Tier); tier < len(v.waits) {
-		return v.waits[tier].Seconds() + service*float64(v.placed)/float64(v.limit)
+		return v.waits[tier].Seconds() + service*float64(v.ownPlacements)/float64(v.limit)
 	}
 	wait := v.wait
 	if wait <= 0 {
 		wait = service * float64(over+v.queued) / float64(v.limit)
 	}
-	return wait * q.tierShare
+	return wait * q.tierWaitShare
 }
 
 // inTime reports whether the estimate meets both bounds of the request.
 func (c *candidate) inTime(q *query) bool {
-	return c.first <= q.firstBy && c.finish <= q.remaining
+	return c.first <= q.firstRemaining && c.finish <= q.remaining
 }
--- a/internal/core/routing/herd_bench_test.go
+++ b/internal/core/routing/herd_bench_test.go
@@ -9,29 +9,30 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// herdCase is owners that dispatch on digests that all have and that grow half
-// a second old. The targets start at 0 to 15 of 16 places and nothing ends.
+// herdCase is a number of owners that dispatch based on the same digests, which become
+// up to half a second old. The targets start with 0 to 15 of 16 slots in use, and no
+// request ends.
 type herdCase struct{ targets, owners, dispatches int }
 
 type chooseFunc func(*Router, time.Time, *request.Request) string
 
-// BenchmarkHerd reports the part of dispatches that land above a target's
-// limit, and the fullest target's load; an ideal choice lands none above.
+// BenchmarkHerd reports the share of dispatches that exceed a target's limit, and the
+// highest load of a target. An ideal choice exceeds no limit.
 func BenchmarkHerd(b *testing.B) {
-	ways := []struct {
+	strategies := []struct {
 		name   string
 		choose chooseFunc
 	}{
 		{"room-of-near", chosen(nil)},
-		{"two-of-near", chosen(&twoOfNear{nearByRoom{random: rand.New(rand.NewPCG(1, 1))}})},
+		{"two-of-near", chosen(&twoOfNearEqual{weightedByFreeSlots{random: rand.New(rand.NewPCG(1, 1))}})},
 		{"least-cost", chosen(leastCost{})},
 		{"least-cost-of-all", leastCostOfAll},
-		{"alone", alone},
+		{"alone", independent},
 	}
 	for _, size := range []herdCase{{12, 6, 60}, {250, 410, 1250}} {
-		for _, way := range ways {
-			b.Run(fmt.Sprintf("%s/targets=%d", way.name, size.targets), func(b *testing.B) {
-				benchmarkHerd(b, size, way.choose)
+		for _, strategy := range strategies {
+			b.Run(fmt.Sprintf("%s/targets=%d", strategy.name, size.targets), func(b *testing.B) {
+				benchmarkHerd(b, size, strategy.choose)
 			})
 		}
 	}
@@ -54,7 +55,7 @@
 	for i := range h.dispatches {
 		now := start.Add(time.Duration(i) * 500 * time.Millisecond / time.Duration(h.dispatches))
 		r := routers[i%h.owners]
-		req := ask(300, 50)
+		req := newRequest(300, 50)
 		name := choose(r, now, req)
 		r.Dispatched(now, name, req)
 		load[name]++
@@ -73,12 +74,12 @@
 	for i := range routers {
 		routers[i] = New(seed*uint64(h.owners)+uint64(i), fmt.Sprintf("z%d", i%3))
 		routers[i].Configure(doc)
-		renew(routers[i], start, h.targets, 0)
+		renewDigests(routers[i], start, h.targets, 0)
 	}
 	for t := range h.targets {
-		load[named(t)] = t % 16
+		load[targetName(t)] = t % 16
 		for _, r := range routers {
-			r.Report(start, named(t), t%16, 0)
+			r.Report(start, targetName(t), t%16, 0)
 		}
 	}
 	return routers, load
@@ -94,16 +95,16 @@
 }
 
 func leastCostOfAll(r *Router, now time.Time, req *request.Request) string {
-	q, _ := r.ask(now, req, nil)
+	q, _ := r.newQuery(now, req, nil)
 	r.scan(q)
 	return r.candidates[leastCost{}.pick(q, r.candidates)].target.name
 }
 
-func alone(r *Router, now time.Time, req *request.Request) string {
+func independent(r *Router, now time.Time, req *request.Request) string {
 	return first(r.TwoChoices(now, req, nil))
 }
 
-// leastCost is a picker that was weighed: the least cost of the candidates.
+// leastCost is an alternative picker for comparison: the candidate of the lowest cost.
 type leastCost struct{}
 
 func (leastCost) pick(_ *query, cs []candidate) int {
@@ -116,14 +117,15 @@
 	return best
 }
 
-// twoOfNear is a picker that was weighed: the less loaded of two random ones.
-type twoOfNear struct{ nearByRoom }
+// twoOfNearEqual is an alternative picker for comparison: the less loaded of two random
+// candidates near the best.
+type twoOfNearEqual struct{ weightedByFreeSlots }
 
-func (p *twoOfNear) pick(q *query, cs []candidate) int {
-	near := p.near(q, cs)
+func (p *twoOfNearEqual) pick(q *query, cs []candidate) int {
+	near := p.nearEqual(q, cs)
 	a := near[p.random.IntN(len(near))]
 	b := near[p.random.IntN(len(near))]
-	if cs[b].view.loaded() < cs[a].view.loaded() {
+	if cs[b].view.load() < cs[a].view.load() {
 		return b
 	}
 	return a
--- a/internal/core/routing/kind.go
+++ b/internal/core/routing/kind.go
@@ -1,6 +1,6 @@
 package routing
 
-// kindFilter drops targets of another kind or pool than the request's.
+// kindFilter drops targets whose kind or pool differs from the request's.
 type kindFilter struct{}
 
 func (kindFilter) keep(q *query, c *candidate) bool {
--- a/internal/core/routing/pick.go
+++ b/internal/core/routing/pick.go
@@ -3,40 +3,43 @@
 import "math/rand/v2"
 
 const (
-	// nearShare of the best cost, and nearFloor seconds, is near-equal.
-	nearShare = 0.01
-	nearFloor = 0.003
-	// agePart of the oldest digest's age widens near-equal, to nearAgeMost
-	// seconds: the older the view, the less a small difference says.
-	agePart     = 1.0 / 32
-	nearAgeMost = 0.1
-	// preferenceLoad is the part of the limit that a second of preference takes
-	// from a target's room.
+	// Costs are near-equal if they exceed the best cost by no more than nearEqualShare
+	// of it, or by minNearEqual seconds if that is more.
+	nearEqualShare = 0.01
+	minNearEqual   = 0.003
+	// ageWidening is the share of the oldest digest's age by which the range of
+	// near-equal costs grows, up to maxAgeWidening seconds: the older the digests, the
+	// less a small difference means.
+	ageWidening    = 1.0 / 32
+	maxAgeWidening = 0.1
+	// preferenceLoad is the share of the limit by which a second of preference reduces
+	// a target's weight.
 	preferenceLoad = 10.0
-	// leastRoom is the part of its limit that a full target still counts for.
-	leastRoom = 0.02
+	// minFreeShare is the share of its limit that counts as free at a full target.
+	minFreeShare = 0.02
 )
 
-// nearByRoom takes a random one of the candidates near the best, each with a
-// chance in proportion to its free places.
+// weightedByFreeSlots picks a random candidate among those near the best, each with a
+// probability in proportion to its free slots.
 //
-// Failure: many owners hold the same stale digests. Symptom: all take the one
-// best target until its next digest. Chances in proportion to room suffice:
-// together the owners fill each target by the room it had, however many they are.
-type nearByRoom struct {
-	random *rand.Rand
-	close  []int // reused
+// Many owners hold the same stale digests. If each picked the best target, all would
+// send to it until its next digest. With probabilities in proportion to the free slots
+// the owners together fill each target according to its capacity, however many they
+// are.
+type weightedByFreeSlots struct {
+	random       *rand.Rand
+	nearEqualBuf []int // reused by each call
 }
 
-func (p *nearByRoom) pick(q *query, cs []candidate) int {
-	near := p.near(q, cs)
+func (p *weightedByFreeSlots) pick(q *query, cs []candidate) int {
+	near := p.nearEqual(q, cs)
 	total := 0.0
 	for _, i := range near {
-		total += cs[i].room()
+		total += cs[i].weight()
 	}
 	at := p.random.Float64() * total
 	for _, i := range near {
-		at -= cs[i].room()
+		at -= cs[i].weight()
 		if at < 0 {
 			return i
 		}
@@ -44,21 +47,23 @@
 	return near[len(near)-1]
 }
 
-// room is the free places, less what speaks against the target at any load.
-func (c *candidate) room() float64 {
-	free := 1 - c.view.loaded() - preferenceLoad*c.preference
-	return float64(c.view.limit) * max(free, leastRoom)
+// weight returns the number of free slots, reduced by the preference, which applies at
+// any load.
+func (c *candidate) weight() float64 {
+	free := 1 - c.view.load() - preferenceLoad*c.preference
+	return float64(c.view.limit) * max(free, minFreeShare)
 }
 
-// near lists the candidates near the best; only those in time if any is.
-func (p *nearByRoom) near(q *query, cs []candidate) []int {
-	best, anyInTime := bestOf(q, cs)
+// nearEqual lists the candidates whose cost is near the best; only those in time if
+// there are any.
+func (p *weightedByFreeSlots) nearEqual(q *query, cs []candidate) []int {
+	best, anyInTime := leastCostOf(q, cs)
 	age := 0.0
 	for i := range cs {
 		age = max(age, cs[i].view.age)
 	}
-	bound := best + max(nearShare*best, nearFloor) + min(age*agePart, nearAgeMost)
-	near := p.close[:0]
+	bound := best + max(nearEqualShare*best, minNearEqual) + min(age*ageWidening, maxAgeWidening)
+	near := p.nearEqualBuf[:0]
 	for i := range cs {
 		if anyInTime && !cs[i].inTime(q) {
 			continue
@@ -67,12 +72,12 @@
 			near = append(near, i)
 		}
 	}
-	p.close = near
+	p.nearEqualBuf = near
 	return near
 }
 
-// bestOf is the least cost, among those in time if there are any.
-func bestOf(q *query, cs []candidate) (best float64, anyInTime bool) {
+// leastCostOf returns the lowest cost, of the candidates in time if there are any.
+func leastCostOf(q *query, cs []candidate) (best float64, anyInTime bool) {
 	for i := range cs {
 		inTime := cs[i].inTime(q)
 		switch {
--- a/internal/core/routing/pick_test.go
+++ b/internal/core/routing/pick_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("stale digests", func() {
-	// Forty owners hold the same digests, a second old: one target looks idle,
-	// the rest are a little busier. Each owner sends a request; if all took the
-	// best by the digests, that target would get forty at once.
-	It("do not draw all owners to one target", func() {
+	// Forty owners hold the same digests, which are a second old: one target looks
+	// idle, the rest a little busier. Each owner sends a request. If all of them chose
+	// the best target by the digests, it would receive forty requests at once.
+	It("do not send all owners to one target", func() {
 		most := func(size int, least bool) (most int) {
 			got := map[string]int{}
 			for owner := range 40 {
@@ -20,15 +20,15 @@
 					r.picker = leastCost{}
 				}
 				for i := range size {
-					r.Digest(start, digest(named(i), min(i, 3), 16))
+					r.Digest(start, digest(targetName(i), min(i, 3), 16))
 				}
-				name := first(r.Choose(start.Add(time.Second), ask(100, 50), nil))
+				name := first(r.Choose(start.Add(time.Second), newRequest(100, 50), nil))
 				got[name]++
 				most = max(most, got[name])
 			}
 			return most
 		}
-		Expect(most(12, true)).To(Equal(40), "the check sees a herd")
+		Expect(most(12, true)).To(Equal(40), "the check detects convergence on one target")
 		Expect(most(12, false)).To(BeNumerically("<=", 14))
 		Expect(most(60, false)).To(BeNumerically("<=", 10))
 	})
@@ -37,13 +37,13 @@
 		r := routerFor(poolOf(12, 0), 1)
 		got := map[string]int{}
 		for range 120 {
-			req := ask(100, 50)
+			req := newRequest(100, 50)
 			name := first(r.Choose(start, req, nil))
 			r.Dispatched(start, name, req)
 			got[name]++
 		}
 		for i := range 12 {
-			Expect(got[named(i)]).To(BeNumerically("~", 10, 5))
+			Expect(got[targetName(i)]).To(BeNumerically("~", 10, 5))
 		}
 	})
 })
--- a/internal/core/routing/plugin.go
+++ b/internal/core/routing/plugin.go
@@ -6,50 +6,51 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// query is one request at one instant, as the plugins see it.
+// query is one request at one instant, as seen by filters, scorers and pickers.
 type query struct {
 	now     time.Time
 	req     *request.Request
 	exclude func(target string) bool
-	// tokens is the expected length of the answer.
-	tokens int
-	// remaining and firstBy are the seconds left to the deadline and to the
-	// first token's; infinite where the request has none.
-	remaining, firstBy float64
-	// tierShare scales the wait of the lowest tier down to this request's.
-	tierShare float64
-	long      bool
-	pool      *pool
-	zone      string
-	cached    []hit
+	// answerTokens is the expected length of the answer in tokens.
+	answerTokens int
+	// remaining and firstRemaining are the seconds left until the deadlines of the
+	// complete answer and of the first token; infinite if the request has none.
+	remaining, firstRemaining float64
+	// tierWaitShare scales the wait of the lowest tier to the request's tier.
+	tierWaitShare float64
+	long          bool
+	pool          *pool
+	zone          string
+	cached        []hit
 }
 
 // candidate is a target under consideration, with its view.
 type candidate struct {
 	target *target
 	view   view
-	// prefill, first and finish are estimated seconds from now; cached is the
-	// prompt tokens taken to be in the target's cache.
+	// prefill, first and finish are estimated seconds from now. cached is the number of
+	// prompt tokens assumed to be in the target's cache.
 	cached                 float64
 	prefill, first, finish float64
-	// preference is the part of cost that no load brings about: zone, make.
+	// preference is the part of the cost that does not depend on load: zone and prefill
+	// speed.
 	preference float64
 	cost       float64
 }
 
-// filter rules candidates out.
+// filter excludes candidates.
 type filter interface {
 	keep(q *query, c *candidate) bool
-	// status is the answer when this filter left no candidate.
+	// status is returned if this filter left no candidate.
 	status() Status
 }
 
-// scorer adds to a candidate's cost, in seconds: less is better.
+// scorer adds to a candidate's cost in seconds; lower is better.
 type scorer interface {
 	score(q *query, c *candidate)
 }
 
-// picker takes one of the scored candidates; there is at least one.
+// picker selects one of the scored candidates, of which there is at least one.
 type picker interface {
 	pick(q *query, cs []candidate) int
 }
--- a/internal/core/routing/prefixes.go
+++ b/internal/core/routing/prefixes.go
@@ -6,81 +6,81 @@
 )
 
 const (
-	// prefixesHeld bounds the prefix hashes remembered, predictionsHeld the
-	// runs whose cached tokens were predicted and not seen yet.
-	prefixesHeld    = 32768
-	predictionsHeld = 4096
-	// prefixHolders is how many targets are remembered for one prefix.
-	prefixHolders = 3
-	// depthsDense depths are all remembered; beyond, depthsPerDoubling for each
-	// doubling, so that a brief of hundreds of blocks takes some thirty places
-	// and a match understates what is shared by at most a fifth.
-	depthsDense       = 8
+	// maxPrefixes bounds the prefix hashes remembered, maxPredictions the runs whose
+	// cached tokens were predicted and not observed yet.
+	maxPrefixes    = 32768
+	maxPredictions = 4096
+	// holdersPerPrefix is the number of targets remembered for one prefix.
+	holdersPerPrefix = 3
+	// Every depth up to denseDepths is remembered, and depthsPerDoubling depths for
+	// each doubling beyond. A prompt of hundreds of blocks then takes some thirty
+	// entries, and a match understates the shared prefix by at most a fifth.
+	denseDepths       = 8
 	depthsPerDoubling = 4
-	// trustGain is the weight of one seen run in a target's cache trust;
-	// trustLeast keeps the ratio above zero.
-	trustGain  = 0.2
-	trustLeast = 0.01
+	// trustGain is the weight of one observed run in a target's cache trust. minTrust
+	// keeps the trust above zero.
+	trustGain = 0.2
+	minTrust  = 0.01
 )
 
-// holder is a target whose cache was seen to take a prefix, in that epoch.
+// holder is a target that computed a prefix, and its cache epoch at that time.
 type holder struct {
 	target *target
 	epoch  uint32
 }
 
-type holders [prefixHolders]holder
+type holders [holdersPerPrefix]holder
 
-// prediction is what was expected of a run's cached tokens.
+// prediction is the number of cached tokens expected for a run.
 type prediction struct {
 	target *target
 	tokens int
 }
 
-// hit is a target that may hold so many tokens of a prompt in its cache.
+// hit is a target whose cache may hold that many tokens of a prompt.
 type hit struct {
 	target *target
 	tokens float64
 }
 
-// prefixes remembers which target computed which prefix, from own dispatches.
-// Engines publish cache events late and with gaps; a wrong guess costs only
-// prefill, so what is learned from the runs themselves is enough.
+// prefixes records which target computed which prefix, based on the owner's own
+// dispatches. Engines publish cache events late and with gaps. A wrong prediction costs
+// only prefill time, so learning from the runs themselves is sufficient.
 type prefixes struct {
-	held      *lru[uint64, holders]
+	byHash    *lru[uint64, holders]
 	predicted *lru[ident.RequestID, prediction]
 }
 
 func newPrefixes() prefixes {
 	return prefixes{
-		held:      newLRU[uint64, holders](prefixesHeld),
-		predicted: newLRU[ident.RequestID, prediction](predictionsHeld),
+		byHash:    newLRU[uint64, holders](maxPrefixes),
+		predicted: newLRU[ident.RequestID, prediction](maxPredictions),
 	}
 }
 
-// shallower returns the next lesser depth that is remembered; 0 at the end.
-func shallower(depth int) int {
-	if depth <= depthsDense {
+// nextDepth returns the next smaller depth that is remembered, or 0 if there is none.
+func nextDepth(depth int) int {
+	if depth <= denseDepths {
 		return depth - 1
 	}
-	step := depthsDense / depthsPerDoubling
+	step := denseDepths / depthsPerDoubling
 	for step*2*depthsPerDoubling < depth {
 		step *= 2
 	}
 	return (depth - 1) / step * step
 }
 
-// find appends the targets that may hold part of the prompt, deepest first.
+// find appends the targets that may hold part of the prompt, longest match first.
 func (p *prefixes) find(req *request.Request, into []hit) []hit {
-	for depth := len(req.Prefixes); depth > 0; depth = shallower(depth) {
-		found := p.held.get(req.Prefixes[depth-1])
+	for depth := len(req.Prefixes); depth > 0; depth = nextDepth(depth) {
+		found := p.byHash.get(req.Prefixes[depth-1])
 		if found == nil {
 			continue
 		}
 		for _, h := range found {
 			into = appendHit(into, h, depth)
 		}
-		if len(into) >= prefixHolders {
+		if len(into) >= holdersPerPrefix {
 			break
 		}
 	}
@@ -100,35 +100,36 @@
 	return append(into, hit{target: h.target, tokens: tokens})
 }
 
-// record notes that the target computes the request's prompt now, and what it
-// was expected to hold of it before.
+// record stores that the target is computing the request's prompt, and predicts how
+// much of it the target already held.
 func (p *prefixes) record(t *target, req *request.Request) {
 	expected := 0
-	for depth := len(req.Prefixes); depth > 0; depth = shallower(depth) {
-		h := p.held.touch(req.Prefixes[depth-1])
-		if expected == 0 && h.has(t) {
+	for depth := len(req.Prefixes); depth > 0; depth = nextDepth(depth) {
+		h := p.byHash.touch(req.Prefixes[depth-1])
+		if expected == 0 && h.contains(t) {
 			expected = depth * request.PrefixBlockTokens
 		}
-		h.put(t)
+		h.moveToFront(t)
 	}
 	if expected > 0 {
 		*p.predicted.touch(req.ID) = prediction{target: t, tokens: min(expected, req.PromptTokens)}
 	}
 }
 
-// seen corrects the trust in a target's cache by what a run really found there.
-func (p *prefixes) seen(id ident.RequestID, t *target, cached int) {
+// observe adjusts the trust in a target's cache according to the cached tokens of a
+// run.
+func (p *prefixes) observe(id ident.RequestID, t *target, cached int) {
 	e := p.predicted.get(id)
 	if e == nil || e.target != t || e.tokens <= 0 {
 		return
 	}
 	share := min(float64(cached)/float64(e.tokens), 1)
 	t.cacheTrust += trustGain * (share - t.cacheTrust)
-	t.cacheTrust = max(t.cacheTrust, trustLeast)
+	t.cacheTrust = max(t.cacheTrust, minTrust)
 	e.tokens = 0
 }
 
-func (h *holders) has(t *target) bool {
+func (h *holders) contains(t *target) bool {
 	for i := range h {
 		if h[i].target == t && h[i].epoch == t.cacheEpoch {
 			return true
@@ -137,8 +138,8 @@
 	return false
 }
 
-// put makes the target the newest holder.
-func (h *holders) put(t *target) {
+// moveToFront makes the target the most recent holder.
+func (h *holders) moveToFront(t *target) {
 	at := len(h) - 1
 	for i := range h {
 		if h[i].target == t || h[i].target == nil {
--- a/internal/core/routing/router.go
+++ b/internal/core/routing/router.go
@@ -1,12 +1,12 @@
-// Package routing is the owner's choice of a target for a request: filters
-// rule targets out, scorers estimate what each would cost in seconds, a picker
-// takes one of the near-equal best. It works on digests of the targets'
-// schedulers, which are stale, so its choice is a preference only: the
-// target's scheduler has the last word on a place.
+// Package routing implements the owner's choice of a target for a request: filters
+// exclude targets, scorers estimate the cost of each in seconds, and a picker selects
+// one of those near the lowest cost. The choice is based on digests of the targets'
+// schedulers, which are stale, so it is only a preference: the target's scheduler
+// decides whether the request gets a slot.
 //
-// Router is a pure state machine: time and the seed of its random choices come
-// in as arguments. It is not safe for concurrent use. Its memory is bounded by
-// the number of targets and by the constants of the prefix index.
+// Router is a pure state machine: time and the seed of its random choices are
+// arguments. It is not safe for concurrent use. Its memory is bounded by the number of
+// targets and by the constants of the prefix index.
 package routing
 
 import (
@@ -18,7 +18,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// randomStream is the second half of the PCG seed; any constant does.
+// randomStream is the second half of the PCG seed; its value is arbitrary.
 const randomStream = 0x9e3779b97f4a7c15
 
 // Router chooses targets for the requests of one owner.
@@ -31,7 +31,7 @@
 
 	shortPrompt int
 	tiers       int
-	able        ableFilter
+	feasible    feasibleFilter
 	filters     []filter
 	scorers     []scorer
 	picker      picker
@@ -42,8 +42,8 @@
 	choices    uint64
 }
 
-// New starts a router for an owner in a zone; the seed should differ between
-// owners, so that they don't make the same random choices.
+// New returns a router for an owner in a zone. The seed should differ between owners,
+// so that they don't make the same random choices.
 func New(seed uint64, zone string) *Router {
 	r := &Router{
 		zone:     zone,
@@ -52,30 +52,30 @@
 		pools:    make(map[string]*pool),
 		prefixes: newPrefixes(),
 	}
-	r.filters = []filter{kindFilter{}, availableFilter{}, excludedFilter{}, &r.able}
+	r.filters = []filter{kindFilter{}, availableFilter{}, excludedFilter{}, &r.feasible}
 	r.scorers = []scorer{finishScorer{}, zoneScorer{}, separationScorer{}}
-	r.picker = &nearByRoom{random: r.random}
+	r.picker = &weightedByFreeSlots{random: r.random}
 	return r
 }
 
-// Configure takes the document in force. What is known of a target whose name
-// stays is kept.
+// Configure applies the document in force. The state of targets that remain in the
+// document is kept.
 func (r *Router) Configure(doc *document.Document) {
 	r.shortPrompt = doc.Refusal.ShortPromptTokens
 	r.tiers = len(doc.Tiers)
-	r.able.early = doc.Refusal.Early
+	r.feasible.early = doc.Refusal.Early
 	r.configurePools(doc)
 	classes := make(map[string]*document.Class, len(doc.Classes))
 	for i := range doc.Classes {
 		classes[doc.Classes[i].Name] = &doc.Classes[i]
 	}
-	former := r.targets
+	previous := r.targets
 	r.targets = make(map[string]*target, len(doc.Targets))
 	for i := range doc.Targets {
 		row := &doc.Targets[i]
-		r.configureTarget(row, classes[row.Class], former[row.Name])
+		r.configureTarget(row, classes[row.Class], previous[row.Name])
 	}
-	for name, t := range former {
+	for name, t := range previous {
 		if r.targets[name] == nil {
 			t.pool = nil
 		}
@@ -83,12 +83,12 @@
 }
 
 func (r *Router) configurePools(doc *document.Document) {
-	former := r.pools
+	previous := r.pools
 	r.pools = make(map[string]*pool, len(doc.Pools))
 	for i := range doc.Pools {
 		name := doc.Pools[i].Name
 		p := &pool{name: name}
-		if old := former[name]; old != nil {
+		if old := previous[name]; old != nil {
 			p.answers = old.answers
 		}
 		r.pools[name] = p
@@ -103,77 +103,79 @@
 	if t == nil {
 		t = newTarget(row.Name)
 	}
-	t.describe(row, class)
+	t.applyDocument(row, class)
 	t.pool = p
 	p.targets = append(p.targets, t)
 	if t.zone == r.zone {
-		p.near = append(p.near, t)
+		p.sameZone = append(p.sameZone, t)
 	}
 	r.targets[row.Name] = t
 }
 
-// Digest takes what the scheduler of a target says of it.
+// Digest applies a digest from the scheduler of a target.
 func (r *Router) Digest(now time.Time, d message.Digest) {
 	if t := r.targets[d.Target]; t != nil {
-		t.takeDigest(now, d)
+		t.setDigest(now, d)
 	}
 }
 
-// Reachable takes the finding of a probe: false if the target can't be reached
-// or says that it is leaving. A target that comes back comes with an empty cache.
+// Reachable applies the result of a probe: ok is false if the target is unreachable or
+// announces its departure. The cache of a target that becomes reachable again is
+// assumed to be empty.
 func (r *Router) Reachable(name string, ok bool) {
 	t := r.targets[name]
 	if t == nil {
 		return
 	}
 	if t.reachable && !ok {
-		t.loseCache()
+		t.invalidateCache()
 	}
 	t.reachable = ok
 }
 
-// Report takes a load report of the engine itself, stale by the engine's lag.
-// It counts where no digest does, and for TwoChoices.
+// Report applies a load report of the engine itself, which lags. It is used where there
+// is no current digest, and by TwoChoices.
 func (r *Router) Report(now time.Time, name string, running, waiting int) {
 	if t := r.targets[name]; t != nil {
-		t.takeReport(now, running, waiting)
+		t.setReport(now, running, waiting)
 	}
 }
 
-// Dispatched notes that a request was sent to a target: load until the next
-// digest, and prefixes that its cache will hold.
+// Dispatched records that a request was sent to a target: it counts as load until the
+// next digest, and its prefixes as held by the target's cache.
 func (r *Router) Dispatched(now time.Time, name string, req *request.Request) {
 	t := r.targets[name]
 	if t == nil {
 		return
 	}
-	t.addOwn(now, req.PromptTokens)
+	t.addOwnRun(now, req.PromptTokens)
 	t.pool.inFlight++
 	if req.Kind == request.Engine {
 		r.prefixes.record(t, req)
 	}
 }
 
-// Offered notes that a place was asked for at a target: until its next digest the
-// offer counts as ahead of those that are placed after it.
+// Offered records that a request was offered to a target. Until the next digest the
+// offer counts as queued ahead of later requests.
 //
-// Failure: a digest is up to a heartbeat old, and offers that wait are in none
-// yet. Symptom: all that comes meanwhile joins the queue that was shortest.
+// A digest is up to one heartbeat old and doesn't contain offers made since. If these
+// were not counted, all requests of that time would join the queue that was shortest at
+// the digest.
 func (r *Router) Offered(now time.Time, name string) {
 	if t := r.targets[name]; t != nil {
-		t.addOffer(now)
+		t.addOwnOffer(now)
 	}
 }
 
-// Observed takes what a run showed, to correct what was assumed of the
-// target's cache, and of the length of answers where the run is complete.
+// Observed applies the sample of a run: it corrects the assumed contents of the
+// target's cache and, if the run is complete, the expected length of answers.
 func (r *Router) Observed(name string, req *request.Request, s message.Sample, complete bool) {
 	t := r.targets[name]
 	if t == nil || req.Kind != request.Engine {
 		return
 	}
 	if s.FirstToken > 0 {
-		r.prefixes.seen(req.ID, t, s.CachedTokens)
+		r.prefixes.observe(req.ID, t, s.CachedTokens)
 	}
 	if complete {
 		t.pool.answers.Observe(s.Tokens, req.MaxTokens)
--- a/internal/core/routing/separation.go
+++ b/internal/core/routing/separation.go
@@ -1,26 +1,26 @@
 package routing
 
 const (
-	// keepFastFor is what a short request pays, in seconds, for each time that a
-	// target's prefill rate exceeds its pool's mean; at most keepFastMost.
-	keepFastFor  = 0.05
-	keepFastMost = 0.1
-	// longWeight is how much more a second of prefill counts for a long prompt:
-	// it also holds up every stream that decodes there.
-	longWeight = 0.5
+	// fastPenalty is the cost in seconds of a short request for each multiple by which
+	// a target's prefill rate exceeds the pool's mean, up to maxFastPenalty.
+	fastPenalty    = 0.05
+	maxFastPenalty = 0.1
+	// longPrefillWeight is the additional weight of a second of prefill for a long
+	// prompt, since it also delays every stream that decodes at the target.
+	longPrefillWeight = 0.5
 )
 
-// separationScorer keeps targets with fast prefill for long prompts.
+// separationScorer reserves targets with fast prefill for long prompts.
 type separationScorer struct{}
 
 func (separationScorer) score(q *query, c *candidate) {
 	if q.long {
-		c.cost += longWeight * c.prefill
+		c.cost += longPrefillWeight * c.prefill
 		return
 	}
-	mean := q.pool.meanRate
-	if mean <= 0 || c.view.rate <= mean {
+	mean := q.pool.meanPrefillRate
+	if mean <= 0 || c.view.prefillRate <= mean {
 		return
 	}
-	c.preference += min(keepFastFor*(c.view.rate/mean-1), keepFastMost)
+	c.preference += min(fastPenalty*(c.view.prefillRate/mean-1), maxFastPenalty)
 }
--- a/internal/core/routing/status.go
+++ b/internal/core/routing/status.go
@@ -2,14 +2,15 @@
 
 import "sycamoretrail/internal/core/outcome"
 
-// Status says how a choice came out, and why there is none.
+// Status is the result of a choice, or the reason why no target was chosen.
 type Status uint8
 
 const (
 	// Chosen: the target is expected to answer in time.
 	Chosen Status = iota
-	// ChosenLate: a target is named, but by the owner's stale view its queue
-	// makes the answer late. Its scheduler, which knows the tiers, decides.
+	// ChosenLate: a target was chosen, but by the owner's stale view its queue makes
+	// the answer late. The target's scheduler decides, because it has the queues by
+	// tier.
 	ChosenLate
 	// UnknownPool: the document has no such pool.
 	UnknownPool
@@ -17,8 +18,8 @@
 	EmptyPool
 	// NoneAvailable: every target is leaving, unreachable or unavailable.
 	NoneAvailable
-	// NoneLeft: the caller's exclude turned every available target down.
-	NoneLeft
+	// AllExcluded: the caller excluded every available target.
+	AllExcluded
 	// NoneInTime: no target could finish by the deadline even with no queue.
 	NoneInTime
 )
@@ -26,12 +27,12 @@
 // OK reports whether a target was chosen.
 func (s Status) OK() bool { return s == Chosen || s == ChosenLate }
 
-// Reason is what a refusal for this status says; ReasonNone if OK.
+// Reason returns the reason of a refusal for this status; ReasonNone if OK.
 func (s Status) Reason() outcome.Reason {
 	switch s {
 	case Chosen, ChosenLate:
 		return outcome.ReasonNone
-	case NoneLeft:
+	case AllExcluded:
 		return outcome.ReasonOverload
 	case NoneInTime:
 		return outcome.ReasonDeadline
@@ -39,7 +40,7 @@
 	return outcome.ReasonNoTarget
 }
 
-// String is the status for logs and explain.
+// String returns the status as text for logs and explanations.
 func (s Status) String() string {
 	switch s {
 	case Chosen:
@@ -52,7 +53,7 @@
 		return "pool has no target of this kind"
 	case NoneAvailable:
 		return "no target of the pool is available"
-	case NoneLeft:
+	case AllExcluded:
 		return "every available target was tried or ruled out"
 	case NoneInTime:
 		return "no target could finish by the deadline"
--- a/internal/core/routing/suite_test.go
+++ b/internal/core/routing/suite_test.go
@@ -26,8 +26,9 @@
 	fastRate = 16000.0
 )
 
-// poolOf is a document with one pool "chat" of n engines in three zones; the
-// first fast ones have fast prefill. A pool "desk" holds one service.
+// poolOf returns a document with a pool "chat" of n engines in three zones, of which
+// the first ones, as many as fast, have fast prefill. A pool "desk" contains one
+// service.
 func poolOf(n, fast int) *document.Document {
 	doc := &document.Document{
 		Tiers: []document.Tier{{Name: "high"}, {Name: "low"}},
@@ -45,13 +46,13 @@
 			class = "fast"
 		}
 		doc.Targets = append(doc.Targets, document.Target{
-			Name: named(i), Pool: "chat", Class: class, Zone: fmt.Sprintf("z%d", i%3)})
+			Name: targetName(i), Pool: "chat", Class: class, Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	doc.Targets = append(doc.Targets, document.Target{Name: "d", Pool: "desk", Class: "desk", Zone: "z0"})
 	return doc
 }
 
-func named(i int) string { return fmt.Sprintf("t%d", i) }
+func targetName(i int) string { return fmt.Sprintf("t%d", i) }
 
 func routerFor(doc *document.Document, seed uint64) *Router {
 	r := New(seed, "z0")
@@ -61,15 +62,16 @@
 
 var requests int
 
-// ask is a request of the low tier with ten seconds left.
-func ask(prompt, tokens int) *request.Request {
+// newRequest returns a request of the low tier with ten seconds left.
+func newRequest(prompt, tokens int) *request.Request {
 	requests++
 	return &request.Request{
 		ID: ident.RequestID(fmt.Sprintf("i.0.%d", requests)), Pool: "chat", Tier: 1, Idempotent: true,
 		PromptTokens: prompt, MaxTokens: tokens, Deadline: start.Add(10 * time.Second)}
 }
 
-// prefixed gives a request a prompt of blocks, all its own after the shared ones.
+// prefixed sets the prefix hashes of a request. The first blocks, as many as shared,
+// are common to its family; the rest are unique to the request.
 func prefixed(req *request.Request, family uint64, shared int) *request.Request {
 	for i := range req.PromptTokens / request.PrefixBlockTokens {
 		hash := family<<32 + uint64(i)
--- a/internal/core/routing/zone.go
+++ b/internal/core/routing/zone.go
@@ -1,10 +1,10 @@
 package routing
 
-// zonePenalty is what a target in another zone costs, in seconds: the travel,
-// and a little more, so that a near-equal target nearby is preferred.
+// zonePenalty is the cost in seconds of a target in another zone: the network delay and
+// a little more, so that a near-equal target in the own zone is preferred.
 const zonePenalty = 0.004
 
-// zoneScorer prefers the owner's own zone.
+// zoneScorer prefers targets in the owner's zone.
 type zoneScorer struct{}
 
 func (zoneScorer) score(q *query, c *candidate) {
--- a/internal/core/routing/zone_test.go
+++ b/internal/core/routing/zone_test.go
@@ -8,11 +8,11 @@
 )
 
 var _ = Describe("zone", func() {
-	It("prefers near targets among equal ones, and leaves them when they are slower", func() {
+	It("prefers the own zone among equal targets, but not if its targets are slower", func() {
 		r := routerFor(poolOf(60, 0), 5)
 		near := func() (n int) {
 			for range 300 {
-				name := first(r.Choose(start, ask(50, 2), nil))
+				name := first(r.Choose(start, newRequest(50, 2), nil))
 				if r.targets[name].zone == "z0" {
 					n++
 				}
@@ -21,7 +21,7 @@
 		}
 		Expect(near()).To(BeNumerically(">", 250))
 		for i := 0; i < 60; i += 3 {
-			d := digest(named(i), 16, 16)
+			d := digest(targetName(i), 16, 16)
 			d.Wait = time.Second
 			r.Digest(start, d)
 		}
