--- a/internal/core/suspects/memory.go
+++ b/internal/core/suspects/memory.go
@@ -8,24 +8,26 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// find drops a suspicion that has lapsed: Judge moves suspects to the back, so
-// expire may not have come to it yet.
+// find returns the entry of a fingerprint, or nil. It removes an expired suspicion,
+// because expire may not have reached it yet: Check moves suspects to the back of the
+// list.
 func (s *Suspects) find(now time.Time, fingerprint request.Fingerprint) *entry {
 	el := s.entries[fingerprint]
 	if el == nil {
 		return nil
 	}
 	e := el.Value.(*entry)
-	if !e.convicted && !now.Before(e.until) {
+	if !e.quarantined && !now.Before(e.until) {
 		s.remove(s.suspected, el)
 		return nil
 	}
 	return e
 }
 
-// enter finds or makes the entry of a fingerprint. Full: the suspect least
-// recently seen gives way; nil if there are convictions only.
-func (s *Suspects) enter(now time.Time, fingerprint request.Fingerprint) *entry {
+// findOrAdd returns the entry of a fingerprint, adding it if there is none. If the
+// memory is full, the least recently seen suspect is evicted; findOrAdd returns nil if
+// all entries are quarantined.
+func (s *Suspects) findOrAdd(now time.Time, fingerprint request.Fingerprint) *entry {
 	if e := s.find(now, fingerprint); e != nil {
 		return e
 	}
@@ -47,76 +49,77 @@
 	from.Remove(el)
 }
 
-// renew puts a suspicion's end off and marks it as seen.
-func (s *Suspects) renew(now time.Time, e *entry) {
+// extend renews a suspicion for the full period and marks it as seen.
+func (s *Suspects) extend(now time.Time, e *entry) {
 	e.until = now.Add(s.cfg.Suspicion)
 	s.suspected.MoveToBack(s.entries[e.fingerprint])
 }
 
-// clear drops these deaths, and keeps their names so that a late report of one
-// does not bring it back.
-func (s *Suspects) clear(e *entry, deaths []string) {
-	for _, d := range deaths {
+// clearCrashes removes these crashes from the entry and remembers their names, so that
+// a delayed report does not add them again.
+func (s *Suspects) clearCrashes(e *entry, crashes []string) {
+	for _, d := range crashes {
 		if !slices.Contains(e.cleared, d) {
 			e.cleared = append(e.cleared, d)
 		}
 	}
 	e.cleared = newest(e.cleared)
-	e.deaths = slices.DeleteFunc(slices.Clone(e.deaths), func(d string) bool {
+	e.crashes = slices.DeleteFunc(slices.Clone(e.crashes), func(d string) bool {
 		return slices.Contains(e.cleared, d)
 	})
 }
 
-// convict makes a conviction, or lengthens one.
-func (s *Suspects) convict(e *entry, deaths []string, until time.Time) {
+// quarantine puts an entry into quarantine, or extends its quarantine.
+func (s *Suspects) quarantine(e *entry, crashes []string, until time.Time) {
 	if e == nil {
 		return
 	}
-	e.add(deaths)
-	if e.convicted && !until.After(e.until) {
+	e.mergeCrashes(crashes)
+	if e.quarantined && !until.After(e.until) {
 		return
 	}
 	from := s.suspected
-	if e.convicted {
-		from = s.convicted
+	if e.quarantined {
+		from = s.quarantined
 	}
 	from.Remove(s.entries[e.fingerprint])
-	e.convicted, e.until = true, until
-	s.entries[e.fingerprint] = s.insert(e)
+	e.quarantined, e.until = true, until
+	s.entries[e.fingerprint] = s.insertQuarantined(e)
 }
 
-// insert keeps the convictions in the order in which they lapse.
-func (s *Suspects) insert(e *entry) *list.Element {
-	for el := s.convicted.Back(); el != nil; el = el.Prev() {
+// insertQuarantined adds an entry to the quarantined ones, which are ordered by expiry.
+func (s *Suspects) insertQuarantined(e *entry) *list.Element {
+	for el := s.quarantined.Back(); el != nil; el = el.Prev() {
 		if !el.Value.(*entry).until.After(e.until) {
-			return s.convicted.InsertAfter(e, el)
+			return s.quarantined.InsertAfter(e, el)
 		}
 	}
-	return s.convicted.PushFront(e)
+	return s.quarantined.PushFront(e)
 }
 
-// expire drops what has lapsed, from the front of both lists.
+// expire removes expired entries from the front of both lists.
 func (s *Suspects) expire(now time.Time) {
-	for _, l := range []*list.List{s.suspected, s.convicted} {
+	for _, l := range []*list.List{s.suspected, s.quarantined} {
 		for el := l.Front(); el != nil && !now.Before(el.Value.(*entry).until); el = l.Front() {
 			s.remove(l, el)
 		}
 	}
 }
 
-// note records a target's death and reports a burst.
-func (s *Suspects) note(now time.Time, target string) bool {
-	s.burst(now)
-	s.deaths = slices.DeleteFunc(s.deaths, func(d death) bool { return d.target == target })
-	s.deaths = append(s.deaths, death{target: target, at: now})
-	s.deaths = s.deaths[max(0, len(s.deaths)-s.cfg.Burst):]
-	return len(s.deaths) >= s.cfg.Burst
+// recordCrash records the crash of a target and reports whether it is part of a burst.
+func (s *Suspects) recordCrash(now time.Time, target string) bool {
+	s.inBurst(now)
+	s.recentCrashes = slices.DeleteFunc(s.recentCrashes, func(d crash) bool { return d.target == target })
+	s.recentCrashes = append(s.recentCrashes, crash{target: target, at: now})
+	s.recentCrashes = s.recentCrashes[max(0, len(s.recentCrashes)-s.cfg.Burst):]
+	return len(s.recentCrashes) >= s.cfg.Burst
 }
 
-// burst forgets deaths older than the window and reports whether enough remain.
-func (s *Suspects) burst(now time.Time) bool {
-	s.deaths = slices.DeleteFunc(s.deaths, func(d death) bool {
+// inBurst removes crashes older than the window and reports whether the rest amount to
+// a burst.
+func (s *Suspects) inBurst(now time.Time) bool {
+	s.recentCrashes = slices.DeleteFunc(s.recentCrashes, func(d crash) bool {
 		return now.Sub(d.at) > s.cfg.Window
 	})
-	return len(s.deaths) >= s.cfg.Burst
+	return len(s.recentCrashes) >= s.cfg.Burst
 }
--- a/internal/core/suspects/suspects.go
+++ b/internal/core/suspects/suspects.go
@@ -1,14 +1,14 @@
-// Package suspects finds requests that kill the targets that run them, by what
-// was in flight when targets died, and recognises them when they are sent again
+// Package suspects detects requests that crash the targets that run them, based on what
+// was in flight when targets crashed, and recognises them when they are sent again
 // under other ids.
 //
-// All that a dying target ran become suspects. A suspect runs only where no
-// other suspect runs, so a second death in which it takes part convicts it.
-// A whole answer clears a suspect.
+// All requests in flight at a crashing target become suspects. A suspect runs only
+// where no other suspect runs, so a second crash in which it takes part puts it into
+// quarantine. A complete answer clears a suspect.
 //
-// Invariants: a death counts once for a fingerprint, whoever reports it and
-// however often; a conviction is not dropped before its time, for want of memory
-// or otherwise; memory is bounded.
+// Invariants: a crash counts once for a fingerprint, whoever reports it and however
+// often; a quarantine is not ended before its time, not even for lack of memory; memory
+// is bounded.
 package suspects
 
 import (
@@ -22,101 +22,104 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Config sets the times and the bounds.
+// Config contains periods and limits.
 type Config struct {
-	// Suspicion is how long a death is held against a request, Conviction how
-	// long a conviction stands.
+	// Suspicion is how long a crash counts against a request, Quarantine how long a
+	// quarantine lasts.
 	Suspicion  time.Duration
-	Conviction time.Duration
-	// Max bounds the fingerprints that are remembered.
+	Quarantine time.Duration
+	// Max bounds the number of fingerprints that are remembered.
 	Max int
-	// Burst and Window: when so many different targets have died within the
-	// window, the cause is not taken to be a request: a rack or zone that went
-	// took them along, and a popular request that ran on several of them would
-	// be convicted. Such deaths count as one.
+	// Burst and Window: if that many different targets have crashed within the window,
+	// the cause is assumed not to be a request. The failure of a rack or zone takes
+	// many targets down, and a popular request that ran on several of them would be
+	// quarantined. Such crashes count as one.
 	Burst  int
 	Window time.Duration
 }
 
 const (
-	// DefaultSuspicion outlasts the time in which callers send again.
+	// DefaultSuspicion exceeds the time in which callers repeat a request.
 	DefaultSuspicion = 10 * time.Minute
-	// DefaultConviction is long enough for an operator to act on it.
-	DefaultConviction = time.Hour
-	// DefaultMax takes some 100 deaths of targets with 100 requests each.
+	// DefaultQuarantine leaves an operator enough time to act.
+	DefaultQuarantine = time.Hour
+	// DefaultMax is sufficient for about 100 crashes of targets with 100 requests each.
 	DefaultMax = 10_000
-	// DefaultBurst is one more than the deaths that convict.
+	// DefaultBurst is one more than the number of crashes that lead to quarantine.
 	DefaultBurst = 3
-	// DefaultWindow is how far apart deaths by one cause are seen.
+	// DefaultWindow is the maximum interval between reports of crashes that have a
+	// common cause.
 	DefaultWindow = time.Second
-	// deathsToConvict and deathsKept bound the evidence kept for a fingerprint.
-	deathsToConvict = 2
-	deathsKept      = 4
+	// quarantineThreshold is the number of crashes that lead to quarantine, maxCrashIDs
+	// the number kept for a fingerprint.
+	quarantineThreshold = 2
+	maxCrashIDs         = 4
 )
 
-// Verdict is what Judge says of a request.
-type Verdict uint8
+// Result is the result of checking a request.
+type Result uint8
 
 const (
-	// Clean: nothing is held against it.
-	Clean Verdict = iota
-	// Suspect: it may run only where no other suspect runs.
+	// Clean: no crash counts against the request.
+	Clean Result = iota
+	// Suspect: the request may run only where no other suspect runs.
 	Suspect
-	// Convicted: refused "not run".
+	// Quarantined: the request is refused as "not run".
 	Convicted
 )
 
-// Effect is something to tell: a message for all peers, a record for the log.
+// Effect is an action for the caller: a message to all peers, a record for the log, or
+// both.
 type Effect struct {
 	Share  *message.Suspicion
 	Append *record.Verdict
 }
 
-// Suspects is the state; not safe for concurrent use.
+// Suspects holds suspected and quarantined requests. It is not safe for concurrent use.
 type Suspects struct {
 	cfg     Config
 	entries map[request.Fingerprint]*list.Element
-	// suspected holds those not convicted, the least recently seen first;
-	// convicted those convicted, the first to lapse first.
-	suspected *list.List
-	convicted *list.List
-	deaths    []death
-	dropped   int
+	// suspected contains the entries not in quarantine, the least recently seen first;
+	// quarantined contains the others, the first to expire first.
+	suspected     *list.List
+	quarantined   *list.List
+	recentCrashes []crash
+	dropped       int
 }
 
 type entry struct {
 	fingerprint request.Fingerprint
-	deaths      []string
-	// cleared are deaths that a whole answer has explained away.
+	crashes     []string
+	// cleared are crashes that a complete answer has ruled out as evidence.
 	cleared []string
-	// until is when the suspicion or the conviction lapses.
-	until     time.Time
-	convicted bool
+	// until is when the suspicion or the quarantine expires.
+	until       time.Time
+	quarantined bool
 }
 
-type death struct {
+type crash struct {
 	target string
 	at     time.Time
 }
 
-// New starts with nothing known. Zero fields of cfg take their defaults.
+// New returns an empty Suspects. Zero fields of cfg take their defaults.
 func New(cfg Config) *Suspects {
 	s := &Suspects{
-		entries:   make(map[request.Fingerprint]*list.Element),
-		suspected: list.New(),
-		convicted: list.New(),
+		entries:     make(map[request.Fingerprint]*list.Element),
+		suspected:   list.New(),
+		quarantined: list.New(),
 	}
 	s.Configure(cfg)
 	return s
 }
 
-// Configure puts new settings in force; what is known keeps its time.
+// Configure applies new settings; existing entries keep their expiry.
 func (s *Suspects) Configure(cfg Config) {
 	if cfg.Suspicion <= 0 {
 		cfg.Suspicion = DefaultSuspicion
 	}
-	if cfg.Conviction <= 0 {
-		cfg.Conviction = DefaultConviction
+	if cfg.Quarantine <= 0 {
+		cfg.Quarantine = DefaultQuarantine
 	}
 	if cfg.Max <= 0 {
 		cfg.Max = DefaultMax
@@ -130,13 +133,13 @@
 	s.cfg = cfg
 }
 
-// Death says that a target died while it ran these requests. The deathID must
-// be the same at all entries that see this death of the target, and another for
-// its next death.
-func (s *Suspects) Death(now time.Time, target, deathID string, running []request.Fingerprint) []Effect {
+// Crash records that a target crashed while it ran these requests. The crashID must be
+// the same at all entries that observe this crash of the target, and differ from that
+// of its next crash.
+func (s *Suspects) Death(now time.Time, target, crashID string, running []request.Fingerprint) []Effect {
 	s.expire(now)
-	burst := s.note(now, target)
-	name := target + "/" + deathID
+	burst := s.recordCrash(now, target)
+	name := target + "/" + crashID
 	unique := slices.Clone(running)
 	slices.Sort(unique)
 	var effects []Effect
@@ -144,141 +147,145 @@
 		if fingerprint == 0 {
 			continue
 		}
-		effects = append(effects, s.hold(now, fingerprint, []string{name}, burst)...)
+		effects = append(effects, s.addCrashes(now, fingerprint, []string{name}, burst)...)
 	}
 	return effects
 }
 
-// Judge says how a request may run.
-func (s *Suspects) Judge(now time.Time, fingerprint request.Fingerprint) Verdict {
+// Check reports how a request may run.
+func (s *Suspects) Judge(now time.Time, fingerprint request.Fingerprint) Result {
 	s.expire(now)
 	e := s.find(now, fingerprint)
 	switch {
-	case e == nil || len(e.deaths) == 0 && !e.convicted:
+	case e == nil || len(e.crashes) == 0 && !e.quarantined:
 		return Clean
-	case e.convicted:
+	case e.quarantined:
 		return Convicted
 	}
 	s.suspected.MoveToBack(s.entries[fingerprint])
 	return Suspect
 }
 
-// Until is how much longer a conviction stands; 0: not convicted.
-func (s *Suspects) Until(now time.Time, fingerprint request.Fingerprint) time.Duration {
+// QuarantineLeft returns the remaining time of a quarantine; 0 if the request is not in
+// quarantine.
+func (s *Suspects) QuarantineLeft(now time.Time, fingerprint request.Fingerprint) time.Duration {
 	e := s.find(now, fingerprint)
-	if e == nil || !e.convicted {
+	if e == nil || !e.quarantined {
 		return 0
 	}
 	return max(0, e.until.Sub(now))
 }
 
-// Completed says that a request gave its whole answer: what it is suspected of
-// had another cause. A conviction stands.
+// Completed records that a request was answered completely, so that the crashes counted
+// against it had another cause. A quarantine remains in force.
 func (s *Suspects) Completed(now time.Time, fingerprint request.Fingerprint) []Effect {
 	s.expire(now)
 	e := s.find(now, fingerprint)
-	if e == nil || e.convicted || len(e.deaths) == 0 {
+	if e == nil || e.quarantined || len(e.crashes) == 0 {
 		return nil
 	}
-	share := message.Suspicion{Fingerprint: fingerprint, Deaths: e.deaths, Cleared: true}
-	s.clear(e, e.deaths)
+	share := message.Suspicion{Fingerprint: fingerprint, Deaths: e.crashes, Cleared: true}
+	s.clearCrashes(e, e.crashes)
 	return []Effect{{Share: &share}}
 }
 
-// Merge takes what a peer knows. Where both together convict, the conviction is
-// shared and logged from here too; saying it twice is harmless.
+// Merge applies a peer's state of a fingerprint. If the crashes of both together lead
+// to quarantine, this entry shares and logs the quarantine too; duplicates are
+// harmless.
 func (s *Suspects) Merge(now time.Time, m message.Suspicion) []Effect {
 	s.expire(now)
 	switch {
 	case m.Fingerprint == 0:
 		return nil
 	case m.Convicted:
-		s.convict(s.enter(now, m.Fingerprint), m.Deaths, now.Add(s.cfg.Conviction))
+		s.quarantine(s.findOrAdd(now, m.Fingerprint), m.Deaths, now.Add(s.cfg.Quarantine))
 		return nil
 	case m.Cleared:
-		if e := s.enter(now, m.Fingerprint); e != nil && !e.convicted {
-			s.clear(e, m.Deaths)
-			s.renew(now, e)
+		if e := s.findOrAdd(now, m.Fingerprint); e != nil && !e.quarantined {
+			s.clearCrashes(e, m.Deaths)
+			s.extend(now, e)
 		}
 		return nil
 	}
-	effects := s.hold(now, m.Fingerprint, m.Deaths, s.burst(now))
+	effects := s.addCrashes(now, m.Fingerprint, m.Deaths, s.inBurst(now))
 	return slices.DeleteFunc(effects, func(e Effect) bool { return e.Append == nil })
 }
 
-// FromLog takes a verdict off the log, whose record has this age.
+// FromLog applies a quarantine record of the given age that was read from the log.
 func (s *Suspects) FromLog(now time.Time, age time.Duration, v record.Verdict) {
 	s.expire(now)
-	until := now.Add(s.cfg.Conviction - age)
+	until := now.Add(s.cfg.Quarantine - age)
 	if v.Fingerprint != 0 && until.After(now) {
-		s.convict(s.enter(now, v.Fingerprint), v.Deaths, until)
+		s.quarantine(s.findOrAdd(now, v.Fingerprint), v.Deaths, until)
 	}
 }
 
-// Len is the number of remembered fingerprints; Dropped counts those that found
-// no room because all that is remembered are convictions.
+// Len returns the number of remembered fingerprints.
 func (s *Suspects) Len() int { return len(s.entries) }
 
-// Dropped counts fingerprints that found no room.
+// Dropped returns the number of fingerprints that were not stored because all entries
+// are quarantined.
 func (s *Suspects) Dropped() int { return s.dropped }
 
-// Convictions lists the convicted fingerprints, in ascending order.
-func (s *Suspects) Convictions(now time.Time) []request.Fingerprint {
+// QuarantinedFingerprints lists the quarantined fingerprints in ascending order.
+func (s *Suspects) QuarantinedFingerprints(now time.Time) []request.Fingerprint {
 	s.expire(now)
 	var out []request.Fingerprint
-	for el := s.convicted.Front(); el != nil; el = el.Next() {
+	for el := s.quarantined.Front(); el != nil; el = el.Next() {
 		out = append(out, el.Value.(*entry).fingerprint)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	return out
 }
 
-// hold holds deaths against a fingerprint and convicts it if they suffice.
-func (s *Suspects) hold(now time.Time, fingerprint request.Fingerprint, deaths []string, burst bool) []Effect {
-	e := s.enter(now, fingerprint)
-	if e == nil || e.convicted {
+// addCrashes counts crashes against a fingerprint and quarantines it if there are
+// enough.
+func (s *Suspects) addCrashes(now time.Time, fingerprint request.Fingerprint, crashes []string, burst bool) []Effect {
+	e := s.findOrAdd(now, fingerprint)
+	if e == nil || e.quarantined {
 		return nil
 	}
-	// Deaths of a burst count as one: a rack or zone that goes takes many targets
-	// along, and a popular request that ran on several would be convicted.
-	if burst && len(e.deaths) > 0 {
-		s.renew(now, e)
+	// Crashes of a burst count as one: the failure of a rack or zone takes many targets
+	// down, and a popular request that ran on several would be quarantined.
+	if burst && len(e.crashes) > 0 {
+		s.extend(now, e)
 		return nil
 	}
 	if burst {
-		deaths = deaths[:min(1, len(deaths))]
+		crashes = crashes[:min(1, len(crashes))]
 	}
-	if !e.add(deaths) {
+	if !e.mergeCrashes(crashes) {
 		return nil
 	}
-	s.renew(now, e)
-	if len(e.deaths) < deathsToConvict {
+	s.extend(now, e)
+	if len(e.crashes) < quarantineThreshold {
 		return []Effect{{Share: &message.Suspicion{
 			Fingerprint: fingerprint,
-			Deaths:      slices.Clone(e.deaths),
+			Deaths:      slices.Clone(e.crashes),
 		}}}
 	}
-	s.convict(e, nil, now.Add(s.cfg.Conviction))
+	s.quarantine(e, nil, now.Add(s.cfg.Quarantine))
 	return []Effect{{
-		Share:  &message.Suspicion{Fingerprint: fingerprint, Deaths: slices.Clone(e.deaths), Convicted: true},
-		Append: &record.Verdict{Fingerprint: fingerprint, Deaths: slices.Clone(e.deaths)},
+		Share:  &message.Suspicion{Fingerprint: fingerprint, Deaths: slices.Clone(e.crashes), Convicted: true},
+		Append: &record.Verdict{Fingerprint: fingerprint, Deaths: slices.Clone(e.crashes)},
 	}}
 }
 
-// add notes deaths that are new; the oldest give way.
-func (e *entry) add(deaths []string) bool {
+// mergeCrashes adds new crashes and reports whether there were any; the oldest are
+// dropped.
+func (e *entry) mergeCrashes(crashes []string) bool {
 	added := false
-	for _, d := range deaths {
-		if slices.Contains(e.deaths, d) || slices.Contains(e.cleared, d) {
+	for _, d := range crashes {
+		if slices.Contains(e.crashes, d) || slices.Contains(e.cleared, d) {
 			continue
 		}
-		e.deaths = append(e.deaths, d)
+		e.crashes = append(e.crashes, d)
 		added = true
 	}
-	e.deaths = newest(e.deaths)
+	e.crashes = newest(e.crashes)
 	return added
 }
 
-func newest(deaths []string) []string {
-	return deaths[max(0, len(deaths)-deathsKept):]
+func newest(crashes []string) []string {
+	return crashes[max(0, len(crashes)-maxCrashIDs):]
 }
