--- a/internal/core/crashes/crashes.go
+++ b/internal/core/crashes/crashes.go
@@ -1,9 +1,9 @@
-// Package crashes recognises requests that crash each target that runs them. A
-// caller sends such a request again and again, at any entry, and each time one
-// more target is lost for seconds. Each run that ended with a broken connection
-// counts against the request's fingerprint, at all entries; from the limit on it
-// is refused. A sound request meets a broken connection now and then, but hardly
-// so often within the memory.
+// Package crashes recognises requests that crash each target that runs them. A caller
+// that repeats such a request at any entry would take down one more target for seconds
+// each time. Each run that ended with a broken connection counts against the request's
+// fingerprint at all entries, and the request is refused once it reaches the threshold.
+// Other requests have broken connections too, but rarely that many within the retention
+// time.
 package crashes
 
 import (
@@ -11,38 +11,39 @@
 	"time"
 )
 
-// Fingerprint stands for organisation, path and body of a request.
+// Fingerprint identifies organisation, path and body of a request.
 type Fingerprint uint64
 
-// String forms the word by which logs name it.
+// String returns the fingerprint as it is written to logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
 const (
-	// Limit is the number of broken runs from which a request is refused.
-	Limit = 3
-	// memory is how long a broken run counts.
-	memory = 60 * time.Second
-	// maxKnown bounds the fingerprints held; the oldest go first.
-	maxKnown = 4096
+	// QuarantineThreshold is the number of failed runs from which a request is refused.
+	QuarantineThreshold = 3
+	// retention is how long a failed run counts.
+	retention = 60 * time.Second
+	// maxFingerprints bounds the fingerprints held; the oldest are dropped first.
+	maxFingerprints = 4096
 )
 
-// Memory holds the broken runs. It is not safe for concurrent use.
+// Tracker counts failed runs by fingerprint. It is not safe for concurrent use.
 type Memory struct {
-	runs  map[Fingerprint][]run
+	runs  map[Fingerprint][]failedRun
 	order []Fingerprint
 }
 
-// run is a broken run; the id keeps one run from counting twice when news of it
-// comes twice.
-type run struct {
+// failedRun is a run that ended with a broken connection. The id prevents a run from
+// being counted twice if it is reported twice.
+type failedRun struct {
 	id string
 	at time.Time
 }
 
-// New makes an empty memory.
-func New() *Memory { return &Memory{runs: make(map[Fingerprint][]run)} }
+// New returns an empty Tracker.
+func New() *Memory { return &Memory{runs: make(map[Fingerprint][]failedRun)} }
 
-// Broken counts a broken run; false: it was known.
+// RecordFailure counts a failed run. It returns false if the run has been counted
+// before.
 func (m *Memory) Broken(now time.Time, fingerprint Fingerprint, id string) bool {
 	runs, found := m.runs[fingerprint]
 	for _, r := range runs {
@@ -52,29 +53,29 @@
 	}
 	if !found {
 		m.order = append(m.order, fingerprint)
-		if len(m.order) > maxKnown {
+		if len(m.order) > maxFingerprints {
 			delete(m.runs, m.order[0])
 			m.order = m.order[1:]
 		}
 	}
-	m.runs[fingerprint] = append(fresh(runs, now), run{id: id, at: now})
+	m.runs[fingerprint] = append(unexpired(runs, now), failedRun{id: id, at: now})
 	return true
 }
 
-// Count is the number of broken runs that are remembered.
+// Count returns the number of failed runs within the retention time.
 func (m *Memory) Count(now time.Time, fingerprint Fingerprint) int {
-	return len(fresh(m.runs[fingerprint], now))
+	return len(unexpired(m.runs[fingerprint], now))
 }
 
-// Convicted reports whether the request has to be refused.
+// Quarantined reports whether the request must be refused.
 func (m *Memory) Convicted(now time.Time, fingerprint Fingerprint) bool {
-	return m.Count(now, fingerprint) >= Limit
+	return m.Count(now, fingerprint) >= QuarantineThreshold
 }
 
-func fresh(runs []run, now time.Time) []run {
-	old := 0
-	for old < len(runs) && now.Sub(runs[old].at) > memory {
-		old++
+func unexpired(runs []failedRun, now time.Time) []failedRun {
+	expired := 0
+	for expired < len(runs) && now.Sub(runs[expired].at) > retention {
+		expired++
 	}
-	return runs[old:]
+	return runs[expired:]
 }
--- a/internal/core/crashes/crashes_test.go
+++ b/internal/core/crashes/crashes_test.go
@@ -12,12 +12,13 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// The same request breaks off at one target after the other. News of one run may come
-// twice and counts once; from the limit on the request is refused, and later forgotten.
-func TestConvictedAfterTheLimit(t *testing.T) {
+// The same request fails at one target after another. A run may be reported twice and
+// counts once. At the threshold the request is refused, and after the retention time it
+// is allowed again.
+func TestQuarantinedAtTheThreshold(t *testing.T) {
 	g := NewWithT(t)
 	m := crashes.New()
-	for i := range crashes.Limit {
+	for i := range crashes.QuarantineThreshold {
 		g.Expect(m.Convicted(now, 7)).To(BeFalse())
 		g.Expect(m.Broken(now, 7, fmt.Sprint(i))).To(BeTrue())
 		g.Expect(m.Broken(now, 7, fmt.Sprint(i))).To(BeFalse())
@@ -27,7 +28,7 @@
 	g.Expect(m.Convicted(now.Add(time.Hour), 7)).To(BeFalse())
 }
 
-// Callers send ever new requests that break off. The memory stays bounded.
+// Callers keep sending new requests that fail. The memory stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := crashes.New()
