--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -9,12 +9,12 @@
 	"sycamoretrail/internal/core/quota"
 )
 
-// entryCounts are a small site, the largest ones in use, and the size to design for.
+// entryCounts are a small installation, the largest ones in use, and the design size.
 var entryCounts = []int{9, 48, 195, 410}
 
-// inFleet makes the limiter of one of so many entries: a dozen of the others were heard
-// within the last report, the rest some time ago.
-func inFleet(entries int) (*quota.Limiter, time.Time) {
+// newBenchLimiter returns the limiter of one of the given number of entries: totals of
+// a dozen of the others arrived with the last report, those of the rest some time ago.
+func newBenchLimiter(entries int) (*quota.Limiter, time.Time) {
 	const organisations, fresh = 19, 12
 	now := time.Unix(1_000_000, 0)
 	limiter := quota.New(quota.Config{Window: window, Overshoot: overshoot, Slack: slack}, now)
@@ -46,11 +46,11 @@
 	return limiter, now.Add(2 * window)
 }
 
-// BenchmarkAdmit is what a request costs an entry, by the number of entries.
+// BenchmarkAdmit measures the cost of a request at an entry, by the number of entries.
 func BenchmarkAdmit(b *testing.B) {
 	for _, entries := range entryCounts {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			limiter, now := inFleet(entries)
+			limiter, now := newBenchLimiter(entries)
 			b.ReportAllocs()
 			for b.Loop() {
 				limiter.Admit(now, "organisation-3", 1, 0)
@@ -59,11 +59,11 @@
 	}
 }
 
-// BenchmarkPressing is what each heartbeat costs besides.
+// BenchmarkPressing measures the additional cost of each heartbeat.
 func BenchmarkPressing(b *testing.B) {
 	for _, entries := range entryCounts {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			limiter, now := inFleet(entries)
+			limiter, now := newBenchLimiter(entries)
 			b.ReportAllocs()
 			for b.Loop() {
 				limiter.Pressing(now)
@@ -72,9 +72,9 @@
 	}
 }
 
-// BenchmarkPeerTotals is what another entry's word costs.
+// BenchmarkPeerTotals measures the cost of applying another entry's totals.
 func BenchmarkPeerTotals(b *testing.B) {
-	limiter, now := inFleet(195)
+	limiter, now := newBenchLimiter(195)
 	totals := limiter.Totals()
 	for i := range 19 {
 		totals[fmt.Sprint("organisation-", i)] = quota.Total{Admitted: 1e7, Sent: 1e7}
--- a/internal/core/quota/history.go
+++ b/internal/core/quota/history.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// History is what an organisation had used in the window before this entry began,
-// over all entries.
+// History is what an organisation had used, over all entries, in the window before this
+// entry started.
 type History struct {
-	// Older and Recent are the halves of the window.
+	// Older and Recent are the usage in the two halves of the window.
 	Older, Recent float64
 }
 
-// Restore takes what was recorded before this entry began.
+// Restore applies a history that was recorded before this entry started.
 func (l *Limiter) Restore(organisation string, history History) { l.history[organisation] = history }
 
-// view is another entry's History of an organisation, and when it came.
-type view struct {
+// peerHistory is another entry's History of an organisation, and when it was received.
+type peerHistory struct {
 	history History
 	at      time.Time
 }
 
-// History returns what organisations have used over all entries, for one that comes
-// back. Without it, an entry that was killed would take an organisation that has just
-// used its whole quota for one with its usual use; and one that was cut off would
-// never learn what others, killed meanwhile, had used. An entry that has itself begun
-// or been isolated within the window does not know.
+// History returns what organisations have used over all entries, for an entry that
+// returns. Without it, an entry that was killed would assume the typical use for an
+// organisation that has just used its whole quota, and an entry that was partitioned
+// would never receive the usage of entries that were killed meanwhile. An entry that
+// has itself started or been isolated within the window returns nil.
 func (l *Limiter) History(now time.Time) map[string]History {
-	if now.Sub(l.started) < l.config.Window || now.Sub(l.isolated) < l.config.Window {
+	if now.Sub(l.started) < l.config.Window || now.Sub(l.isolatedAt) < l.config.Window {
 		return nil
 	}
 	histories := make(map[string]History, len(l.limits))
@@ -36,68 +36,70 @@
 	return histories
 }
 
-// PeerHistory takes another entry's History. Of several the one that knows more counts.
+// PeerHistory applies another entry's History. Of several, the one with the higher
+// usage counts.
 func (l *Limiter) PeerHistory(now time.Time, histories map[string]History) {
 	for organisation, history := range histories {
-		if history.Older+history.Recent > l.viewed(now, organisation) {
-			l.views[organisation] = view{history, now}
+		if history.Older+history.Recent > l.usageFromPeers(now, organisation) {
+			l.peerHistories[organisation] = peerHistory{history, now}
 		}
 	}
 }
 
-// viewed is what another entry's view and what has been told since then come to.
-func (l *Limiter) viewed(now time.Time, organisation string) float64 {
-	v, found := l.views[organisation]
+// usageFromPeers returns the usage according to another entry's history and to what has
+// been reported since.
+func (l *Limiter) usageFromPeers(now time.Time, organisation string) float64 {
+	v, found := l.peerHistories[organisation]
 	if !found || now.Sub(v.at) >= l.config.Window {
 		return 0
 	}
-	return l.unknown(now, v.at, v.history) + l.known(v.at, organisation)
+	return l.historyInWindow(now, v.at, v.history) + l.reportedSince(v.at, organisation)
 }
 
-// historyOf is the usage that has been told, by halves of the window.
+// historyOf returns the reported usage by halves of the window.
 func (l *Limiter) historyOf(now time.Time, organisation string) History {
-	recent := l.known(now.Add(-l.config.Window/2), organisation)
-	return History{Older: max(0, l.known(now.Add(-l.config.Window), organisation)-recent), Recent: recent}
+	recent := l.reportedSince(now.Add(-l.config.Window/2), organisation)
+	return History{Older: max(0, l.reportedSince(now.Add(-l.config.Window), organisation)-recent), Recent: recent}
 }
 
-// Isolated reports whether this entry hears less than half of the others: what it
-// knows of usage is then no record for all.
+// Isolated reports whether this entry receives heartbeats of less than half of the
+// others. Its view of the usage must then not be recorded for all.
 func (l *Limiter) Isolated() bool {
-	silent := 0
+	unresponsive := 0
 	for _, p := range l.peers {
-		if p.silent {
-			silent++
+		if p.unresponsive {
+			unresponsive++
 		}
 	}
-	return silent*2 > len(l.peers)
+	return unresponsive*2 > len(l.peers)
 }
 
-// RecordEvery is the pause between two records: an organisation that uses its whole
-// quota within a second or two is recorded a few times on the way. What was used in as
-// long a time just before is recorded once more, since entries may be killed together
-// before the next.
+// RecordEvery is the interval between two records. An organisation that uses its whole
+// quota within a second or two is recorded a few times in that period. Each record
+// counts the usage of the last interval twice, since entries may be killed together
+// before the next record.
 const RecordEvery = 400 * time.Millisecond
 
-// Records returns what has to be recorded, so that entries which restart together
-// do not let an organisation use its quota twice: the usage of those that have used
-// more than is taken for granted. Only what is known counts. Estimates for entries
-// that are silent or have just begun, once recorded, would be restored as usage by
-// those that start next, and refuse everybody.
+// Records returns the usage to be recorded, so that entries that restart together do
+// not let an organisation use its quota twice. It contains the organisations whose
+// usage exceeds what is assumed without a record. Only reported usage counts. If
+// estimates for entries that are unresponsive or have just started were recorded, those
+// that start next would restore them as usage and refuse all requests.
 func (l *Limiter) Records(now time.Time) map[string]History {
 	records := make(map[string]History)
 	for organisation, limited := range l.limits {
 		record := l.historyOf(now, organisation)
 		if restored, found := l.history[organisation]; found {
-			aged := l.aged(now.Sub(l.started), restored)
+			aged := l.ageHistory(now.Sub(l.started), restored)
 			record.Older += aged.Older
 			record.Recent += aged.Recent
 		}
 		base := l.base(limited)
-		if record.Older+record.Recent < base*usualUse {
+		if record.Older+record.Recent < base*typicalUse {
 			continue
 		}
-		record.Recent += l.untoldBySilent(now, organisation, base)
-		record.Recent += l.known(now.Add(-RecordEvery), organisation)
+		record.Recent += l.unreportedByUnresponsive(now, organisation, base)
+		record.Recent += l.reportedSince(now.Add(-RecordEvery), organisation)
 		records[organisation] = record
 	}
 	return records
--- a/internal/core/quota/peers.go
+++ b/internal/core/quota/peers.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// peer is another entry's usage, by the name that survives restarts.
+// peer is another entry's usage, by the entry's name, which stays the same across
+// restarts.
 type peer struct {
-	// started is when its present incarnation began, since from when on its usage is
-	// known, heard when its last totals came.
-	started, since, heard time.Time
-	// told: it has told its totals, so that one that is new among them began at zero.
-	told, silent bool
-	// fromZero: it was met when its totals began.
-	fromZero bool
-	// returned is when it was last heard again after a silence.
-	returned time.Time
-	usage    map[string]*account
-	// former is what earlier incarnations used, the latest last.
-	former []former
+	// started is when its present incarnation started, knownSince the time from which
+	// its usage is known, and totalsAt the time of its last totals.
+	started, knownSince, totalsAt time.Time
+	// reported: it has reported its totals, so that an organisation that is new in them
+	// began at zero.
+	reported, unresponsive bool
+	// countedFromZero: its present incarnation had started within the window when its
+	// first totals arrived.
+	countedFromZero bool
+	// recoveredAt is when it was last responsive again after being unresponsive.
+	recoveredAt time.Time
+	usage       map[string]*account
+	// previous is the usage of earlier incarnations, the latest last.
+	previous []previousUsage
 }
 
-// former is the usage of an incarnation that was replaced.
-type former struct {
+// previousUsage is the usage of an incarnation that was replaced.
+type previousUsage struct {
 	usage map[string]*account
 	at    time.Time
 }
 
 // Total is what an entry has counted for an organisation since it started.
 type Total struct {
-	// Admitted includes what still waits, Sent does not.
+	// Admitted includes requests that are still waiting, Sent does not.
 	Admitted, Sent float64
 }
 
-// Totals is what this entry has counted since it started, by organisation.
+// Totals returns what this entry has counted since it started, by organisation.
 func (l *Limiter) Totals() map[string]Total {
 	totals := make(map[string]Total, len(l.own))
 	for organisation, a := range l.own {
@@ -39,8 +42,8 @@
 	return totals
 }
 
-// TotalsSince is Totals without the organisations of which this entry has counted nothing
-// since a moment.
+// TotalsSince returns Totals without the organisations for which this entry has counted
+// nothing since a moment.
 func (l *Limiter) TotalsSince(moment time.Time) map[string]Total {
 	totals := make(map[string]Total)
 	for organisation, a := range l.own {
@@ -64,12 +67,12 @@
 	return totals
 }
 
-// Peer is another entry as membership knows it.
+// Peer is another entry according to membership.
 type Peer struct {
 	Name string
-	// Started is when its present incarnation began, on this entry's clock.
+	// Started is when its present incarnation started, on this entry's clock.
 	Started time.Time
-	// Silent: nothing has been heard of it for longer than the silence limit.
+	// Unresponsive: nothing has been received from it within the heartbeat timeout.
 	Silent bool
 }
 
@@ -79,42 +82,43 @@
 	for _, each := range peers {
 		p := l.peers[each.Name]
 		if p == nil {
-			p = &peer{started: each.Started, since: now, heard: now, usage: make(map[string]*account)}
+			p = &peer{started: each.Started, knownSince: now, totalsAt: now, usage: make(map[string]*account)}
 		}
-		if p.silent && !each.Silent {
-			p.returned = now
+		if p.unresponsive && !each.Silent {
+			p.recoveredAt = now
 		}
-		p.silent = each.Silent
+		p.unresponsive = each.Silent
 		kept[each.Name] = p
 	}
 	l.peers = kept
 	if l.Isolated() {
-		l.isolated = now
+		l.isolatedAt = now
 	}
 }
 
-// PeerTotals takes a peer's totals; now is when they were so, which lies in the past where
-// they came through a relay. A later start than the one known means another incarnation,
-// whose totals begin at zero. partial: these are some of the totals, so that one that was not
-// among those before need not have begun at zero since.
+// PeerTotals applies a peer's totals; now is the time for which they are valid, which
+// lies in the past if they came through a relay. A start later than the one known means
+// another incarnation, whose totals begin at zero. partial means that only some of the
+// totals are given, so that an organisation that was not in previous totals need not
+// have begun at zero since.
 func (l *Limiter) PeerTotals(now time.Time, name string, started time.Time, totals map[string]Total, partial bool) {
 	p, found := l.peers[name]
-	if !found || p.told && now.Before(p.heard) {
+	if !found || p.reported && now.Before(p.totalsAt) {
 		return
 	}
-	if started.Sub(p.started) > restartSlack {
-		l.replaced(now, p, started)
+	if started.Sub(p.started) > startTolerance {
+		l.replaceIncarnation(now, p, started)
 	}
 	p.started = started
-	fromZero := p.told || now.Sub(started) < l.config.Window
-	if !p.told {
-		p.firstWord(now, fromZero)
+	fromZero := p.reported || now.Sub(started) < l.config.Window
+	if !p.reported {
+		p.recordFirstTotals(now, fromZero)
 	}
 	if partial {
-		fromZero = p.fromZero
+		fromZero = p.countedFromZero
 	}
-	quiet := now.Sub(p.heard)
-	p.heard = now
+	sinceLast := now.Sub(p.totalsAt)
+	p.totalsAt = now
 	for organisation, total := range totals {
 		a, found := p.usage[organisation]
 		if !found {
@@ -124,60 +128,62 @@
 			continue
 		}
 		if !found && !fromZero {
-			// When this was used is not known; History stands for it.
-			a.begin(now, total)
+			// The time of this usage is not known; History covers it.
+			a.startAt(now, total)
 		}
-		if quiet > spreadFrom {
-			a.spread(now, quiet, total, l.config.Window)
+		if sinceLast > spreadThreshold {
+			a.spread(now, sinceLast, total, l.config.Window)
 		}
 		a.set(now, total, l.config.Window)
 	}
 }
 
-// firstWord notes from when on the peer's usage is known: since it began, if its
-// totals began within the window, and otherwise from now on.
-func (p *peer) firstWord(now time.Time, fromZero bool) {
-	p.told, p.since, p.fromZero = true, now, fromZero
+// recordFirstTotals sets the time since which the peer's usage is known: its start if
+// its totals began within the window, otherwise now.
+func (p *peer) recordFirstTotals(now time.Time, fromZero bool) {
+	p.reported, p.knownSince, p.countedFromZero = true, now, fromZero
 	if fromZero {
-		p.since = p.started
+		p.knownSince = p.started
 	}
 }
 
-// spreadFrom is the pause since a peer's last totals from which on their growth is
-// spread over the pause. Taken as used at its end, the use of all others would count
-// for too long at an entry that has stood still or was cut off, and organisations
-// within their quotas be refused there.
-const spreadFrom = time.Second
+// spreadThreshold is the interval since a peer's last totals from which their growth is
+// spread over the interval. If all of it counted as used at the end, an entry that was
+// paused or partitioned would count the usage of the others for too long, and refuse
+// organisations that are within their quotas.
+const spreadThreshold = time.Second
 
-// replaced keeps what a peer's former incarnation had used. What waited there may have
-// been sent since its last word. If it was cut off before it ended, what it admitted
-// meanwhile has been told to nobody: it is taken for as much as others admitted in the
-// mean between its last word and the start of the next incarnation.
-func (l *Limiter) replaced(now time.Time, p *peer, started time.Time) {
-	var kept []former
-	for _, f := range p.former {
+// replaceIncarnation keeps the usage of a peer's previous incarnation. Requests that
+// waited there may have been sent since its last report. If it was partitioned before
+// it ended, its admissions in that time have not been reported: they are assumed to be
+// the mean of what others admitted between its last report and the start of the next
+// incarnation.
+func (l *Limiter) replaceIncarnation(now time.Time, p *peer, started time.Time) {
+	var kept []previousUsage
+	for _, f := range p.previous {
 		if now.Sub(f.at) < l.config.Window {
 			kept = append(kept, f)
 		}
 	}
 	for organisation, a := range p.usage {
-		a.admitted.set(now, a.admitted.last()+l.meanBetween(now, organisation, p.heard, started), l.config.Window)
+		a.admitted.set(now, a.admitted.last()+l.meanAdmittedBetween(now, organisation, p.totalsAt, started), l.config.Window)
 		a.sent.set(now, a.admitted.last(), l.config.Window)
 	}
-	p.former = append(kept, former{p.usage, now})
+	p.previous = append(kept, previousUsage{p.usage, now})
 	p.usage = make(map[string]*account)
-	p.fromZero = now.Sub(started) < l.config.Window
+	p.countedFromZero = now.Sub(started) < l.config.Window
 }
 
-// meanBetween is what this entry and those whose totals are fresh admitted in the mean.
-func (l *Limiter) meanBetween(now time.Time, organisation string, from, until time.Time) float64 {
+// meanAdmittedBetween returns the mean of what this entry and those with fresh totals
+// admitted.
+func (l *Limiter) meanAdmittedBetween(now time.Time, organisation string, from, until time.Time) float64 {
 	if !from.Before(until) {
 		return 0
 	}
-	accounts := l.freshUse(now, organisation).accounts
+	accounts := l.recentAdmissions(now, organisation).accounts
 	return max(0, meanOf(accounts, func(a *account) float64 { return a.admittedSince(from) - a.admittedSince(until) }))
 }
 
-// restartSlack is the error in a peer's start, which it gives as its age in each
-// message: the message's delay.
-const restartSlack = time.Second
+// startTolerance is the error in a peer's start time, which is derived from the age in
+// each of its messages: the delay of the message.
+const startTolerance = time.Second
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,21 +1,24 @@
-// Package quota keeps each organisation within its rate over all entries, with no
-// shared counter: every entry tells the others how much it has admitted and sent in
-// total, and adds up what it knows of a sliding window.
+// Package quota keeps each organisation within its rate over all entries, without a
+// shared counter: every entry reports to the others how much it has admitted and sent
+// in total, and adds up the usage in a sliding window.
 //
-// What counts is when a request is sent to a target. Until then it counts as sent
-// now, however long it waits: counted at its admission, requests that waited would be
-// sent beside those admitted later, and together exceed the quota.
+// Usage counts from the time at which a request is sent to a target. Until then the
+// request counts as sent now, however long it waits. If it were counted at its
+// admission, requests that waited would be sent together with those admitted later, and
+// exceed the quota.
 //
-// What it does not know counts as used, so that the sum over all entries stays
-// below the limit also when they lose each other or restart together:
+// Usage that has not been reported is assumed, so that the sum over all entries stays
+// below the limit even if they lose contact or restart together:
 //
-//   - a silent entry counts with its even share, since it goes on admitting that much;
-//   - the part of the window before this entry heard of another, or began to count
-//     itself, counts as History says, with that entry's even share;
-//   - another entry goes on, since its last word, as fast as just before it;
-//   - a process that ended unheard had admitted as much as the others in the mean;
-//   - what another entry knows of the window is the least that counts, when the two
-//     meet again.
+//   - an unresponsive entry counts with its even share, since it continues to admit
+//     that much;
+//   - the part of the window before this entry received totals of another, or began to
+//     count itself, counts as in History, with that entry's even share;
+//   - another entry is assumed to continue after its last totals as fast as just before;
+//   - a process that ended without a report is assumed to have admitted as much as the
+//     others in the mean;
+//   - when two entries regain contact, what the other reports of the window is a lower
+//     bound of the usage.
 //
 // Time is an argument. A Limiter is not safe for concurrent use.
 package quota
@@ -26,90 +29,93 @@
 	"sycamoretrail/internal/core/catalog"
 )
 
-// Config sets the bounds.
+// Config contains the window and the tolerance.
 type Config struct {
 	// Window is the length of the sliding window over which a rate is kept.
 	Window time.Duration
-	// Overshoot and Slack are what an organisation may use beyond rate x window +
-	// burst before the limit counts as broken: a part of it, and units of cost besides.
+	// Overshoot and Slack are the tolerated usage beyond rate x window + burst: a share
+	// of it, and a fixed cost in addition.
 	Overshoot, Slack float64
 }
 
 const (
-	// slackUsed is the part of the slack that is used on purpose: what is refused
-	// below the limit is lost to the organisation. The rest covers what entries have
-	// admitted since their last word, some 20 ms at the rate of the largest
-	// organisation.
-	slackUsed = 0.6
-	// cautiousSlack is the part that is used while a part of the window is not known.
-	cautiousSlack = 0.25
-	// usualUse is the part of its limit that an organisation is taken to have used
-	// where nothing is recorded; more than that is recorded, see Records.
-	usualUse = 0.7
-	// smallCost is the part of a quota below which a request is let in whatever its
-	// rank: it takes nothing from the others.
-	smallCost = 0.001
-	// unlistedEntries is twice the least number of entries in use: an organisation with
-	// its usual use of half its quota is still served in full.
-	unlistedEntries = 12
+	// normalSlackShare is the share of the slack that is used deliberately, because
+	// what is refused below the limit is lost to the organisation. The rest covers what
+	// entries have admitted since their last report: some 20 ms at the rate of the
+	// largest organisation.
+	normalSlackShare = 0.6
+	// cautiousSlackShare is used while the usage in part of the window is not known.
+	cautiousSlackShare = 0.25
+	// typicalUse is the share of its limit that an organisation is assumed to have used
+	// if nothing is recorded. Usage above it is recorded, see Records.
+	typicalUse = 0.7
+	// smallCostShare is the share of a quota up to which a request is admitted whatever
+	// its rank, since it takes a negligible part of the quota.
+	smallCostShare = 0.001
+	// assumedEntries is twice the smallest number of entries in use. With it, an
+	// organisation at its typical use of half its quota is still served completely.
+	assumedEntries = 12
 )
 
-// reserved is the part of a quota that is kept for requests above a rank.
-var reserved = [...]float64{0, 0.1, 0.2}
+// reservedShare is, by rank, the share of a quota that is kept for requests of higher
+// ranks.
+var reservedShare = [...]float64{0, 0.1, 0.2}
 
-// Limiter counts what organisations use.
+// Limiter counts the usage of organisations.
 type Limiter struct {
-	config  Config
-	started time.Time
-	limits  map[string]limit
-	own     map[string]*account
-	peers   map[string]*peer
-	history map[string]History
-	views   map[string]view
-	// surging are the organisations that asked for more than usual right after all
-	// entries had begun; see noteSurge.
+	config        Config
+	started       time.Time
+	limits        map[string]limit
+	own           map[string]*account
+	peers         map[string]*peer
+	history       map[string]History
+	peerHistories map[string]peerHistory
+	// surging contains organisations that requested more than their typical use right
+	// after all entries had started; see detectSurge.
 	surging map[string]bool
-	// recordsCurrent: records were written until this entry began.
+	// recordsCurrent: records were written until just before this entry started.
 	recordsCurrent bool
-	// isolated is when this entry last heard less than half of the others.
-	isolated time.Time
-	// fresh is reused by each estimate.
-	fresh freshUse
-	// unlisted: it has not been told yet who the other entries are.
-	unlisted bool
+	// isolatedAt is when this entry last received heartbeats of less than half of the
+	// others.
+	isolatedAt time.Time
+	// recentBuf is reused by each estimate.
+	recentBuf recentAdmissions
+	// peersUnknown: the list of the other entries has not been received yet.
+	peersUnknown bool
 }
 
 type limit struct{ rate, burst float64 }
 
-// Verdict says whether a request is within the quota, and why.
+// Result is the result of checking a request against the quota.
 type Verdict struct {
 	Admitted bool
-	// Used is the window's estimated usage before this request, Limit its bound.
+	// Used is the estimated usage in the window before this request, Limit its bound.
 	Used, Limit float64
-	// Assumed is the part of Used that nobody has told: what silent entries may use,
-	// and what others may have used before they were heard or since.
+	// Assumed is the part of Used that has not been reported: the possible usage of
+	// unresponsive entries, and the usage of others before their first report or since
+	// their last one.
 	Assumed float64
-	// RetryAfter is when enough of the window has passed.
+	// RetryAfter is when enough of the usage has left the window.
 	RetryAfter time.Duration
 }
 
-// New makes a limiter; started is when this entry began to count.
+// New returns a limiter; started is when this entry began to count.
 func New(config Config, started time.Time) *Limiter {
 	return &Limiter{
 		config: config, started: started,
 		limits: make(map[string]limit), own: make(map[string]*account), peers: make(map[string]*peer),
-		history: make(map[string]History), views: make(map[string]view), surging: make(map[string]bool),
+		history: make(map[string]History), peerHistories: make(map[string]peerHistory), surging: make(map[string]bool),
 	}
 }
 
-// SetConfig replaces the bounds. What has been used stays counted.
+// SetConfig replaces the configuration. Usage remains counted.
 func (l *Limiter) SetConfig(config Config) { l.config = config }
 
-// SetListed says whether SetPeers has named all other entries. Until then at least
-// unlistedEntries are taken to share the quotas.
-func (l *Limiter) SetListed(listed bool) { l.unlisted = !listed }
+// SetPeersKnown sets whether SetPeers has named all other entries. Until then at least
+// assumedEntries are assumed to share the quotas.
+func (l *Limiter) SetListed(listed bool) { l.peersUnknown = !listed }
 
-// SetOrganisations replaces the limits. What has been used stays counted.
+// SetOrganisations replaces the limits. Usage remains counted.
 func (l *Limiter) SetOrganisations(organisations []catalog.Organisation) {
 	l.limits = make(map[string]limit, len(organisations))
 	for _, o := range organisations {
@@ -119,10 +125,10 @@
 	}
 }
 
-// Admit counts a request of an organisation, unless it exceeds the quota; Sent or
-// Withdraw has to follow. rank is the importance of its route, 0 the highest: an
-// organisation that asks for more than its quota gets its important requests served,
-// not whatever comes first.
+// Admit counts a request of an organisation unless it exceeds the quota. For an
+// admitted request the caller must call Sent or Withdraw afterwards. rank is the
+// importance of the request's route, 0 being the highest: an organisation that exceeds
+// its quota gets its important requests served instead of those that come first.
 func (l *Limiter) Admit(now time.Time, organisation string, cost float64, rank int) Verdict {
 	limited, found := l.limits[organisation]
 	if !found {
@@ -131,58 +137,59 @@
 	}
 	base := l.base(limited)
 	bound := base + (base*l.config.Overshoot+l.config.Slack)*l.slackShare(now)
-	if cost > bound*smallCost {
-		bound -= base * reserved[min(rank, len(reserved)-1)]
+	if cost > bound*smallCostShare {
+		bound -= base * reservedShare[min(rank, len(reservedShare)-1)]
 	}
-	l.noteSurge(now, organisation, base, cost)
-	told, assumed := l.used(now, organisation, base, bound)
-	verdict := Verdict{Used: told + assumed, Limit: bound, Assumed: assumed}
-	if verdict.Used+cost > bound {
-		missing := verdict.Used + cost - bound
-		verdict.RetryAfter = min(l.config.Window/2, time.Duration(missing/limited.rate*float64(time.Second)))
-		return verdict
+	l.detectSurge(now, organisation, base, cost)
+	reported, assumed := l.used(now, organisation, base, bound)
+	result := Verdict{Used: reported + assumed, Limit: bound, Assumed: assumed}
+	if result.Used+cost > bound {
+		missing := result.Used + cost - bound
+		result.RetryAfter = min(l.config.Window/2, time.Duration(missing/limited.rate*float64(time.Second)))
+		return result
 	}
 	l.Reserve(now, organisation, cost)
-	verdict.Admitted = true
-	return verdict
+	result.Admitted = true
+	return result
 }
 
-// Usage returns what organisations with a quota have used, without its slack.
+// Usage returns the usage of organisations with a quota, against their limits without
+// slack.
 func (l *Limiter) Usage(now time.Time) map[string]Verdict {
 	usage := make(map[string]Verdict, len(l.limits))
 	for organisation, limited := range l.limits {
 		base := l.base(limited)
-		told, assumed := l.used(now, organisation, base, base)
-		usage[organisation] = Verdict{Used: told + assumed, Limit: base, Assumed: assumed}
+		reported, assumed := l.used(now, organisation, base, base)
+		usage[organisation] = Verdict{Used: reported + assumed, Limit: base, Assumed: assumed}
 	}
 	return usage
 }
 
-// base is what an organisation may use in a window without any slack.
+// base returns what an organisation may use in a window without any slack.
 func (l *Limiter) base(limited limit) float64 {
 	return limited.rate*l.config.Window.Seconds() + limited.burst
 }
 
-// slackShare is the part of the slack that may be used now.
+// slackShare returns the share of the slack that may be used now.
 func (l *Limiter) slackShare(now time.Time) float64 {
 	if now.Sub(l.started) < l.config.Window {
-		return cautiousSlack
+		return cautiousSlackShare
 	}
 	for _, p := range l.peers {
-		if p.silent || now.Sub(p.since) < l.config.Window || now.Sub(p.returned) < l.config.Window {
-			return cautiousSlack
+		if p.unresponsive || now.Sub(p.knownSince) < l.config.Window || now.Sub(p.recoveredAt) < l.config.Window {
+			return cautiousSlackShare
 		}
 	}
-	return slackUsed
+	return normalSlackShare
 }
 
-// Reserve counts a request whether or not it exceeds the quota, as Admit does: one
-// that may have run and is sent again.
+// Reserve counts a request as Admit does, but whether or not it exceeds the quota. It
+// is used for requests that may have run and are sent again.
 func (l *Limiter) Reserve(now time.Time, organisation string, cost float64) {
 	l.account(organisation).reserve(now, cost, l.config.Window)
 }
 
-// Withdraw takes back what was admitted and never ran.
+// Withdraw subtracts a request that was admitted and never ran.
 func (l *Limiter) Withdraw(now time.Time, organisation string, cost float64) {
 	l.account(organisation).reserve(now, -cost, l.config.Window)
 }
@@ -192,7 +199,7 @@
 	l.account(organisation).send(now, cost, l.config.Window)
 }
 
-// Unsent makes a sent request one that waits again: its target did not run it.
+// Unsent counts a sent request as waiting again, because its target did not run it.
 func (l *Limiter) Unsent(now time.Time, organisation string, cost float64) {
 	l.account(organisation).send(now, -cost, l.config.Window)
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -22,51 +22,52 @@
 	tick         = 10 * time.Millisecond
 )
 
-func base() float64 { return rate*window.Seconds() + burst }
+func baseQuota() float64 { return rate*window.Seconds() + burst }
 
-// allowed is what may run in any window before the quota counts as broken.
-func allowed() float64 { return base()*(1+overshoot) + slack }
+// allowed is the maximum that may run in any window.
+func allowed() float64 { return baseQuota()*(1+overshoot) + slack }
 
-// newLimiter makes a limiter of the organisation's quota that begins now.
+// newLimiter returns a limiter with the organisation's quota that starts at a time.
 func newLimiter(now time.Time) *quota.Limiter {
 	l := quota.New(quota.Config{Window: window, Overshoot: overshoot, Slack: slack}, now)
 	l.SetOrganisations([]catalog.Organisation{{Name: organisation, Rate: rate, Burst: burst}})
 	return l
 }
 
-// fleet plays entries that share a quota: callers pick an entry at random, totals
-// reach the others after a while, and entries are cut off or killed.
+// fleet simulates entries that share a quota: callers choose an entry at random, totals
+// reach the others after a delay, and entries are partitioned or killed.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Time
 	start   time.Time
 	entries []*member
-	// every is the pause between two words to the others, cell how many of them hear
-	// each change at once.
-	every time.Duration
-	cell  int
+	// reportInterval is the interval between reports to all others; cell is the number
+	// of entries that receive each change from each other at once.
+	reportInterval time.Duration
+	cell           int
 	// admitted is the cost that ran, by tick.
 	admitted  []float64
 	refused   float64
 	records   map[string]quota.History
 	recording bool
-	// holding: what is admitted waits, in held of each, instead of running at once.
-	holding bool
+	// queueing: admitted cost is added to waiting of each entry instead of running at
+	// once.
+	queueing bool
 }
 
 type member struct {
-	name    string
-	limiter *quota.Limiter
-	started time.Time
-	spoke   time.Time
-	cut     bool
-	down    bool
-	held    float64
+	name        string
+	limiter     *quota.Limiter
+	started     time.Time
+	lastReport  time.Time
+	partitioned bool
+	down        bool
+	waiting     float64
 }
 
-func newFleet(n int, every time.Duration, cell int, seed uint64) *fleet {
+func newFleet(n int, reportInterval time.Duration, cell int, seed uint64) *fleet {
 	start := time.Unix(1_000_000, 0)
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: start, start: start, every: every, cell: cell, records: map[string]quota.History{}}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: start, start: start, reportInterval: reportInterval, cell: cell, records: map[string]quota.History{}}
 	for i := range n {
 		m := &member{name: fmt.Sprintf("entry-%d", i)}
 		f.entries = append(f.entries, m)
@@ -84,11 +85,11 @@
 	}
 }
 
-// run plays until a moment, with a demand in cost per second.
+// run simulates up to a time since the start, with a demand in cost per second.
 func (f *fleet) run(until time.Duration, demand float64) {
 	for f.now.Sub(f.start) < until {
 		f.now = f.now.Add(tick)
-		f.tell()
+		f.exchangeTotals()
 		sum := 0.0
 		for want := demand * tick.Seconds(); want > 0; {
 			cost := 1500 + f.random.ExpFloat64()*2500
@@ -103,8 +104,8 @@
 			switch {
 			case !m.limiter.Admit(f.now, organisation, cost, 0).Admitted:
 				f.refused += cost
-			case f.holding:
-				m.held += cost
+			case f.queueing:
+				m.waiting += cost
 			default:
 				m.limiter.Sent(f.now, organisation, cost)
 				sum += cost
@@ -114,20 +115,20 @@
 	}
 }
 
-// release runs all that waited.
+// release runs everything that waited.
 func (f *fleet) release() {
-	f.holding = false
+	f.queueing = false
 	sum := 0.0
 	for _, m := range f.entries {
-		m.limiter.Sent(f.now, organisation, m.held)
-		sum += m.held
-		m.held = 0
+		m.limiter.Sent(f.now, organisation, m.waiting)
+		sum += m.waiting
+		m.waiting = 0
 	}
 	f.admitted = append(f.admitted, sum)
 }
 
-// tell passes totals on between entries that are not cut off.
-func (f *fleet) tell() {
+// exchangeTotals passes totals between entries that are not partitioned.
+func (f *fleet) exchangeTotals() {
 	for i, m := range f.entries {
 		if m.down {
 			continue
@@ -135,18 +136,18 @@
 		var peers []quota.Peer
 		for _, other := range f.entries {
 			if other != m {
-				silent := m.cut || other.cut || other.down
-				peers = append(peers, quota.Peer{Name: other.name, Started: other.started, Silent: silent})
+				unresponsive := m.partitioned || other.partitioned || other.down
+				peers = append(peers, quota.Peer{Name: other.name, Started: other.started, Silent: unresponsive})
 			}
 		}
-		due := f.now.Sub(m.spoke) >= f.every
+		due := f.now.Sub(m.lastReport) >= f.reportInterval
 		if due {
 			m.limiter.SetPeers(f.now, peers)
-			m.spoke = f.now
+			m.lastReport = f.now
 		}
 		for j, other := range f.entries {
 			near := i/f.cell == j/f.cell
-			if other == m || m.cut || other.cut || other.down || !due && !near {
+			if other == m || m.partitioned || other.partitioned || other.down || !due && !near {
 				continue
 			}
 			other.limiter.PeerTotals(f.now, m.name, m.started, m.limiter.Totals(), false)
@@ -157,11 +158,11 @@
 	}
 }
 
-// worst is the most that ran in any window.
-func (f *fleet) worst() float64 { return mostInWindow(f.admitted) }
+// maxInAnyWindow returns the highest cost that ran in any window.
+func (f *fleet) maxInAnyWindow() float64 { return maxInWindow(f.admitted) }
 
-// mostInWindow is the most that ran in any window, of what ran in each tick.
-func mostInWindow(ran []float64) float64 {
+// maxInWindow returns the highest cost that ran in any window, given the cost by tick.
+func maxInWindow(ran []float64) float64 {
 	n := int(window / tick)
 	sum, most := 0.0, 0.0
 	for i, cost := range ran {
@@ -174,22 +175,23 @@
 	return most
 }
 
-const usual = rate / 1.8
+const typicalRate = rate / 1.8
 
-// An organisation sends what it usually does, a little over half of its rate, with a
-// burst now and then. Nothing of it is refused, also right after all entries began.
+// An organisation sends its typical load, a little over half of its rate, with an
+// occasional burst. None of it may be refused, not even right after all entries
+// started.
 func TestWithinQuotaNothingIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(6, 250*time.Millisecond, 6, 1)
-	f.run(12*time.Second, usual)
-	f.run(17*time.Second, usual*1.6)
-	f.run(30*time.Second, usual)
+	f.run(12*time.Second, typicalRate)
+	f.run(17*time.Second, typicalRate*1.6)
+	f.run(30*time.Second, typicalRate)
 	g.Expect(f.refused).To(BeZero())
 }
 
-// An organisation suddenly sends many times its usual to all entries at random. Each
-// entry knows what the others admitted only with delay; together they must not let
-// more run in any window than is allowed, and must use most of what is.
+// An organisation suddenly sends many times its typical load to random entries. Each
+// entry receives what the others admitted only after a delay. Together they must not
+// run more in any window than is allowed, and must use most of it.
 func TestHotOrganisationStaysWithinQuota(t *testing.T) {
 	for _, size := range []struct {
 		entries, cell int
@@ -200,70 +202,70 @@
 			t.Run(fmt.Sprintf("%d entries, %v times, seed %d", size.entries, size.factor, seed), func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(size.entries, size.every, size.cell, seed)
-				f.run(12*time.Second, usual)
-				f.run(25*time.Second, usual*size.factor)
-				g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
-				g.Expect(f.worst()).To(BeNumerically(">=", base()))
+				f.run(12*time.Second, typicalRate)
+				f.run(25*time.Second, typicalRate*size.factor)
+				g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
+				g.Expect(f.maxInAnyWindow()).To(BeNumerically(">=", baseQuota()))
 			})
 		}
 	}
 }
 
-// Two of six entries lose the others while an organisation sends many times its
-// usual to all of them. Neither side knows what the other admits, and both together
+// Two of six entries are partitioned while an organisation sends many times its typical
+// load to all of them. Neither side receives what the other admits, and both together
 // must stay within the quota.
-func TestCutEntriesStayWithinQuotaTogether(t *testing.T) {
+func TestPartitionedEntriesStayWithinQuota(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		f := newFleet(6, 250*time.Millisecond, 6, seed)
-		f.run(12*time.Second, usual)
-		f.entries[1].cut, f.entries[4].cut = true, true
-		f.run(15*time.Second, usual)
-		f.run(25*time.Second, usual*6)
-		f.entries[1].cut, f.entries[4].cut = false, false
-		f.run(35*time.Second, usual*6)
-		g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
+		f.run(12*time.Second, typicalRate)
+		f.entries[1].partitioned, f.entries[4].partitioned = true, true
+		f.run(15*time.Second, typicalRate)
+		f.run(25*time.Second, typicalRate*6)
+		f.entries[1].partitioned, f.entries[4].partitioned = false, false
+		f.run(35*time.Second, typicalRate*6)
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
 	}
 }
 
 // An organisation has just used its whole quota when all entries are killed. They
-// come back a second later and know nothing of each other's past. With the usage in
-// the store they refuse what the quota does not have any more; without it the
-// organisation would use most of its quota a second time within the same window.
-func TestKilledTogetherDoNotGrantQuotaTwice(t *testing.T) {
+// restart a second later without any state. With the usage in the store they must
+// refuse what exceeds the quota; without it the organisation would use most of its
+// quota a second time within the same window.
+func TestSimultaneousRestartDoesNotGrantQuotaTwice(t *testing.T) {
 	for seed := range uint64(3) {
 		g := NewWithT(t)
 		f := newFleet(6, 250*time.Millisecond, 6, seed)
 		f.recording = true
-		f.run(12*time.Second, usual)
-		f.run(14*time.Second, usual*8)
+		f.run(12*time.Second, typicalRate)
+		f.run(14*time.Second, typicalRate*8)
 		for _, m := range f.entries {
 			m.down = true
 		}
-		f.run(14700*time.Millisecond, usual*8)
+		f.run(14700*time.Millisecond, typicalRate*8)
 		for _, m := range f.entries {
 			f.restart(m)
 		}
-		f.run(30*time.Second, usual*8)
-		g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
+		f.run(30*time.Second, typicalRate*8)
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
 	}
 }
 
-// One entry restarts. The others know what it had admitted, so organisations within
-// their quota are served as before, by it and by the others.
-func TestRestartOfOneRefusesNothing(t *testing.T) {
+// One entry restarts. The others have its admitted usage, so organisations within their
+// quota must be served as before, by it and by the others.
+func TestSingleRestartRefusesNothing(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(6, 250*time.Millisecond, 6, 3)
-	f.run(12*time.Second, usual)
+	f.run(12*time.Second, typicalRate)
 	f.entries[2].down = true
-	f.run(13*time.Second, usual)
+	f.run(13*time.Second, typicalRate)
 	f.restart(f.entries[2])
-	f.run(25*time.Second, usual)
+	f.run(25*time.Second, typicalRate)
 	g.Expect(f.refused).To(BeZero())
 }
 
-// An organisation is over its quota. What remains goes to requests of the most
-// important route, and small requests are let in on any.
+// An organisation is over its quota. The rest goes to requests of the most important
+// route, and small requests are admitted on any route.
 func TestQuotaIsKeptForImportantRoutes(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -280,9 +282,9 @@
 	g.Expect(refused.RetryAfter).To(BeNumerically(">", 0))
 }
 
-// A request refused before it ran gives back what it counted; a refusal for the
+// A request that is refused before it ran gives back its cost. A refusal because of the
 // quota itself counted nothing and must not give anything back.
-func TestRefundReturnsWhatWasCounted(t *testing.T) {
+func TestWithdrawReturnsAdmittedCost(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	l := quota.New(quota.Config{Window: window}, now)
@@ -294,59 +296,61 @@
 	g.Expect(l.Admit(now, organisation, 800, 0).Admitted).To(BeTrue())
 }
 
-// others are the other entries of a fleet of 69.
-func others(started time.Time, silent bool) []quota.Peer {
+// otherEntries returns the other entries of a fleet of 69.
+func otherEntries(started time.Time, unresponsive bool) []quota.Peer {
 	var peers []quota.Peer
 	for i := range 68 {
-		peers = append(peers, quota.Peer{Name: fmt.Sprint(i), Started: started, Silent: silent})
+		peers = append(peers, quota.Peer{Name: fmt.Sprint(i), Started: started, Silent: unresponsive})
 	}
 	return peers
 }
 
-// All entries of a fleet have just started and none has heard another. What each
-// assumes of the others must not be recorded: restored by those that start a moment
-// later, it would stand for usage, and nearly all requests be refused for seconds.
+// All entries of a fleet have just started and none has received totals from another.
+// What each assumes for the others must not be recorded: entries that start a moment
+// later would restore it as usage, and refuse nearly all requests for seconds.
 func TestAssumptionsAreNotRecorded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	l := newLimiter(now)
-	peers := others(now, true)
+	peers := otherEntries(now, true)
 	l.SetPeers(now, peers)
 	g.Expect(l.Records(now.Add(time.Second))).To(BeEmpty())
 }
 
-// An entry begins beside others that have been at work for a minute, and first hears
-// them two heartbeats later. Their totals since their own start are not usage of this
-// window: counted as such, every organisation would be refused for a whole window.
-func TestTotalsOfOthersHeardLateAreNotUsage(t *testing.T) {
+// An entry starts while others have been running for a minute, and receives their first
+// totals two heartbeats later. These count since the start of the others and are not
+// usage of this window: if they were counted as such, every organisation would be
+// refused for a whole window.
+func TestTotalsReceivedLateAreNotUsage(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	l := newLimiter(now)
 	started := now.Add(-time.Minute)
-	peers := others(now, true)
+	peers := otherEntries(now, true)
 	l.SetPeers(now, peers)
 	now = now.Add(1500 * time.Millisecond)
 	for i := range peers {
 		peers[i].Silent = false
-		l.PeerTotals(now, peers[i].Name, started, map[string]quota.Total{organisation: {Admitted: usual * 60 / 69, Sent: usual * 60 / 69}}, false)
+		l.PeerTotals(now, peers[i].Name, started, map[string]quota.Total{organisation: {Admitted: typicalRate * 60 / 69, Sent: typicalRate * 60 / 69}}, false)
 	}
 	l.SetPeers(now, peers)
 	g.Expect(l.Admit(now, organisation, 4000, 0).Admitted).To(BeTrue())
 	g.Expect(l.Records(now)).To(BeEmpty(), "nor may they be recorded as usage")
 }
 
-// With many organisations a heartbeat tells of some, and the next ones of the others. One
-// that is told of seconds after an entry first heard the others has not used all of that
-// at that moment: counted so, it would be refused for a whole window.
-func TestTotalsToldInTurnsAreNotUsage(t *testing.T) {
+// With many organisations each heartbeat reports only some of the totals. An
+// organisation that is first reported seconds after the first contact has not used all
+// of its total at that moment: if it were counted so, it would be refused for a whole
+// window.
+func TestPartialTotalsAreNotUsage(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	l := newLimiter(now)
 	started := now.Add(-time.Minute)
-	peers := others(started, false)
+	peers := otherEntries(started, false)
 	l.SetPeers(now, peers)
 	first := map[string]quota.Total{"another": {Admitted: 1, Sent: 1}}
-	second := map[string]quota.Total{organisation: {Admitted: usual * 60 / 69, Sent: usual * 60 / 69}}
+	second := map[string]quota.Total{organisation: {Admitted: typicalRate * 60 / 69, Sent: typicalRate * 60 / 69}}
 	for _, totals := range []map[string]quota.Total{first, second} {
 		now = now.Add(1500 * time.Millisecond)
 		for i := range peers {
@@ -356,27 +360,27 @@
 	g.Expect(l.Admit(now, organisation, 4000, 0).Admitted).To(BeTrue())
 }
 
-// An organisation sends many times its usual while its requests wait in a queue, and
-// then all that waited are sent at once. What counts against the quota is when targets
-// are sent to: with those that are admitted afterwards they must not exceed it.
-func TestRequestsThatWaitedCountWhenSent(t *testing.T) {
+// An organisation sends many times its typical load while its requests wait in a queue,
+// and then all of them are sent at once. Usage counts when requests are sent to
+// targets: together with those admitted afterwards they must not exceed the quota.
+func TestQueuedRequestsCountWhenSent(t *testing.T) {
 	for seed := range uint64(2) {
 		g := NewWithT(t)
 		f := newFleet(6, 250*time.Millisecond, 6, seed)
-		f.run(12*time.Second, usual)
-		f.holding = true
-		f.run(15*time.Second, usual*3)
+		f.run(12*time.Second, typicalRate)
+		f.queueing = true
+		f.run(15*time.Second, typicalRate*3)
 		f.release()
-		f.run(30*time.Second, usual*3)
-		g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
-		g.Expect(f.worst()).To(BeNumerically(">=", base()))
+		f.run(30*time.Second, typicalRate*3)
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically(">=", baseQuota()))
 	}
 }
 
-// Half of what is admitted waits for a second and is then refused for want of a place.
-// What is given back must not make room for more than the quota later, when the
-// moment of the admission has left the window and that of the refusal has not.
-func TestWhatNeverRanDoesNotMakeRoomLater(t *testing.T) {
+// Half of the admitted cost waits for a second and is then refused for lack of a slot.
+// Withdrawing it must not allow more than the quota later, when the admission has left
+// the window and the withdrawal has not.
+func TestWithdrawnRequestsDoNotFreeQuotaLater(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	l := quota.New(quota.Config{Window: window}, now)
@@ -391,10 +395,10 @@
 	g.Expect(l.Admit(now, organisation, 100, 0).Admitted).To(BeFalse())
 }
 
-// All entries are killed and start while the register of entries cannot be read, and
-// an organisation sends many times its usual. None knows of another, and taking itself
-// for the only one each would let in the whole quota.
-func TestEntriesThatKnowNobodyShareTheQuota(t *testing.T) {
+// All entries are killed and restart while the list of entries cannot be read, and an
+// organisation sends many times its typical load. No entry has peers; if each assumed
+// that it was the only one, it would admit the whole quota.
+func TestEntriesWithoutPeerListShareTheQuota(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
 	admitted := 0.0
@@ -410,68 +414,69 @@
 	g.Expect(admitted).To(BeNumerically(">", 0))
 }
 
-// One entry stands still for some seconds and goes on. It hears at once what the others
-// have used meanwhile, and they hear nothing new of it. Organisations within their
-// quotas are served by it and by the others as before.
-func TestEntryThatStoodStillRefusesNothing(t *testing.T) {
+// One entry is paused for some seconds and then continues. It receives at once what the
+// others have used meanwhile, and they receive nothing new from it. Organisations
+// within their quotas must be served by it and by the others as before.
+func TestPausedEntryRefusesNothing(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(6, 250*time.Millisecond, 6, 4)
-	f.run(12*time.Second, usual*1.75)
+	f.run(12*time.Second, typicalRate*1.75)
 	f.entries[2].down = true
-	f.run(15800*time.Millisecond, usual*1.75)
+	f.run(15800*time.Millisecond, typicalRate*1.75)
 	f.entries[2].down = false
-	f.run(30*time.Second, usual*1.75)
+	f.run(30*time.Second, typicalRate*1.75)
 	g.Expect(f.refused).To(BeZero())
 }
 
 // All entries are killed three times within a window while an organisation sends many
-// times its usual. Each time they begin again, they know of what ran before what the
-// record says, which is as old as the pause between two records.
-func TestKilledAgainAndAgainDoNotExceedTheQuota(t *testing.T) {
+// times its typical load. After each restart they have only the usage in the records,
+// which may be as old as the recording interval.
+func TestRepeatedRestartsDoNotExceedTheQuota(t *testing.T) {
 	for seed := range uint64(6) {
 		g := NewWithT(t)
 		f := newFleet(6, 250*time.Millisecond, 6, seed)
 		f.recording = true
-		f.run(12*time.Second, usual)
+		f.run(12*time.Second, typicalRate)
 		at := 13 * time.Second
-		f.run(at, usual*8)
+		f.run(at, typicalRate*8)
 		for range 3 {
 			for _, m := range f.entries {
 				m.down = true
 			}
 			at += 600 * time.Millisecond
-			f.run(at, usual*8)
+			f.run(at, typicalRate*8)
 			for _, m := range f.entries {
 				f.restart(m)
 			}
 			at += 1200 * time.Millisecond
-			f.run(at, usual*8)
+			f.run(at, typicalRate*8)
 		}
-		f.run(30*time.Second, usual*8)
-		g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
+		f.run(30*time.Second, typicalRate*8)
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
 	}
 }
 
 // All entries are killed when an organisation has just used its whole quota, and the
-// record of it is lost. It gets a little more than its quota, not much of it again; and
-// one with its usual use is refused nothing after such a loss.
-func TestKilledTogetherWithoutRecord(t *testing.T) {
+// record of this is lost. It may get a little more than its quota, but not much of it
+// again. An organisation at its typical load must not be refused anything after such a
+// loss.
+func TestSimultaneousRestartWithoutRecords(t *testing.T) {
 	for _, factor := range []float64{1, 8} {
 		g := NewWithT(t)
 		f := newFleet(6, 250*time.Millisecond, 6, 5)
-		f.run(12*time.Second, usual)
-		f.run(14*time.Second, usual*factor)
+		f.run(12*time.Second, typicalRate)
+		f.run(14*time.Second, typicalRate*factor)
 		for _, m := range f.entries {
 			m.down = true
 		}
-		f.run(14700*time.Millisecond, usual*factor)
+		f.run(14700*time.Millisecond, typicalRate*factor)
 		for _, m := range f.entries {
 			f.restart(m)
 		}
-		f.run(30*time.Second, usual*factor)
+		f.run(30*time.Second, typicalRate*factor)
 		if factor == 1 {
 			g.Expect(f.refused).To(BeZero())
 		}
-		g.Expect(f.worst()).To(BeNumerically("<=", allowed()))
+		g.Expect(f.maxInAnyWindow()).To(BeNumerically("<=", allowed()))
 	}
 }
--- a/internal/core/quota/series.go
+++ b/internal/core/quota/series.go
@@ -13,8 +13,8 @@
 	total float64
 }
 
-// step is the resolution of a series; finer points are merged.
-const step = 50 * time.Millisecond
+// resolution is the interval below which points of a series are merged.
+const resolution = 50 * time.Millisecond
 
 func (s *series) last() float64 {
 	if s == nil || len(s.points) == 0 {
@@ -23,26 +23,26 @@
 	return s.points[len(s.points)-1].total
 }
 
-// begin starts the series at a total that counts as used before it.
-func (s *series) begin(now time.Time, total float64) {
+// startAt starts the series with a total that was used before it.
+func (s *series) startAt(now time.Time, total float64) {
 	s.points = []point{{at: now, total: total}}
 }
 
-// set adds a point and drops what is older than the window.
+// set adds a point and drops points older than the window.
 func (s *series) set(now time.Time, total float64, window time.Duration) {
-	if n := len(s.points); n > 1 && now.Sub(s.points[n-2].at) < step {
+	if n := len(s.points); n > 1 && now.Sub(s.points[n-2].at) < resolution {
 		s.points[n-1] = point{at: now, total: total}
 		return
 	}
 	if len(s.points) == 0 {
-		s.begin(now, 0)
+		s.startAt(now, 0)
 	}
 	s.points = append(s.points, point{at: now, total: total})
-	old := 0
-	for old+1 < len(s.points) && now.Sub(s.points[old+1].at) > window {
-		old++
+	expired := 0
+	for expired+1 < len(s.points) && now.Sub(s.points[expired+1].at) > window {
+		expired++
 	}
-	s.points = s.points[old:]
+	s.points = s.points[expired:]
 }
 
 // changedSince reports whether a point was added after a moment.
@@ -50,8 +50,8 @@
 	return len(s.points) > 0 && s.points[len(s.points)-1].at.After(moment)
 }
 
-// since is what was added after a moment, rounded up to whole points.
-func (s *series) since(moment time.Time) float64 {
+// addedSince returns what was added after a moment, rounded up to whole points.
+func (s *series) addedSince(moment time.Time) float64 {
 	if s == nil || len(s.points) == 0 {
 		return 0
 	}
@@ -59,18 +59,18 @@
 	return s.last() - s.points[max(0, later-1)].total
 }
 
-// spreadStep is the resolution of what is spread.
-const spreadStep = 250 * time.Millisecond
+// spreadResolution is the interval between points added by spread.
+const spreadResolution = 250 * time.Millisecond
 
 // account is an organisation's usage at one entry. A nil account is empty.
 type account struct{ admitted, sent series }
 
-// reserve counts what is admitted; a negative cost takes it back.
+// reserve adds an admitted cost; a negative cost subtracts it.
 func (a *account) reserve(now time.Time, cost float64, window time.Duration) {
 	a.admitted.set(now, a.admitted.last()+cost, window)
 }
 
-// send counts what is sent; a negative cost makes it wait again.
+// send adds a sent cost; a negative cost makes it wait again.
 func (a *account) send(now time.Time, cost float64, window time.Duration) {
 	a.sent.set(now, a.sent.last()+cost, window)
 }
@@ -82,10 +82,10 @@
 	return a.admitted.changedSince(moment) || a.sent.changedSince(moment)
 }
 
-// begin starts an account whose totals were used at unknown times.
-func (a *account) begin(now time.Time, total Total) {
-	a.admitted.begin(now, total.Admitted)
-	a.sent.begin(now, total.Sent)
+// startAt starts an account with totals that were used at unknown times.
+func (a *account) startAt(now time.Time, total Total) {
+	a.admitted.startAt(now, total.Admitted)
+	a.sent.startAt(now, total.Sent)
 }
 
 func (a *account) set(now time.Time, total Total, window time.Duration) {
@@ -93,13 +93,13 @@
 	a.sent.set(now, total.Sent, window)
 }
 
-// spread adds points as if what was counted since the last ones, up to total, had
-// been counted evenly over the time before now.
-func (a *account) spread(now time.Time, over time.Duration, total Total, window time.Duration) {
+// spread adds points as if the usage since the last points, up to total, had been
+// counted evenly over the given time before now.
+func (a *account) spread(now time.Time, interval time.Duration, total Total, window time.Duration) {
 	from := a.total()
-	over = min(over, window)
-	for before := over - spreadStep; before > 0; before -= spreadStep {
-		part := 1 - float64(before)/float64(over)
+	interval = min(interval, window)
+	for before := interval - spreadResolution; before > 0; before -= spreadResolution {
+		part := 1 - float64(before)/float64(interval)
 		a.set(now.Add(-before), Total{
 			Admitted: from.Admitted + part*(total.Admitted-from.Admitted),
 			Sent:     from.Sent + part*(total.Sent-from.Sent),
@@ -107,18 +107,18 @@
 	}
 }
 
-// since is what was sent after a moment and what waits.
-func (a *account) since(moment time.Time) float64 {
+// usedSince returns what was sent after a moment plus what is still waiting.
+func (a *account) usedSince(moment time.Time) float64 {
 	if a == nil {
 		return 0
 	}
-	return a.sent.since(moment) + a.admitted.last() - a.sent.last()
+	return a.sent.addedSince(moment) + a.admitted.last() - a.sent.last()
 }
 
-// admittedSince is what was admitted after a moment.
+// admittedSince returns what was admitted after a moment.
 func (a *account) admittedSince(moment time.Time) float64 {
 	if a == nil {
 		return 0
 	}
-	return a.admitted.since(moment)
+	return a.admitted.addedSince(moment)
 }
