--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,13 +1,13 @@
-// Package budget bounds how often requests are sent to a second target. When a
-// service fails or rejects much, repeats would add to the very load that makes it
-// fail. All entries share one allowance for each service: a part of the requests
-// for it, and a fixed extra. Each entry keeps to the part of its own requests and
-// to an even share of the extra, so no word between entries is needed.
+// Package budget limits how often requests are sent to a second target. When a service
+// fails or rejects many requests, retries would add to the load that makes it fail. All
+// entries share one allowance for each service: a share of its requests and a fixed
+// extra. Each entry uses the share of its own requests and an even part of the extra,
+// so that entries need not exchange messages about it.
 //
-// An entry that has just begun takes little of the extra for a window: its former
-// process may have used its share, and it does not know yet how many entries share.
-// Six entries that were killed together would have made 318 repeats where 52 are
-// allowed. Taking nothing, it could not send its first requests a second time.
+// An entry that has just started uses little of the extra for one window: its previous
+// process may have used its part, and it does not have the number of entries yet. Six
+// entries that were killed together would have made 318 repeats where 52 are allowed.
+// If it used nothing of the extra, it could not repeat its first requests.
 package budget
 
 import (
@@ -16,25 +16,26 @@
 	"time"
 )
 
-// Config is the allowance over all entries in each window.
+// Config is the allowance of all entries together in each window.
 type Config struct {
 	Window time.Duration
 	// Ratio is the number of repeats allowed per request.
 	Ratio float64
-	// Extra is the number of repeats allowed besides.
+	// Extra is the number of repeats allowed in addition.
 	Extra float64
 }
 
-// safety keeps a tenth of the allowance back: windows at the entries and at the
-// targets differ by the time that requests are under way.
-const safety = 0.9
+// safetyFactor holds back a tenth of the allowance, because windows at the entries and
+// at the targets differ by the transit time of requests.
+const safetyFactor = 0.9
 
-// An entry that has just begun takes part youngShare of its share of the extra, as if
-// at least youngEntries entries shared it: of the usual extra of some 50 one or two
-// repeats, so that six entries that begin again together stay within what is allowed.
+// An entry that has just started uses startupExtraShare of its part of the extra,
+// computed for at least startupMinEntries entries. Of a typical extra of about 50 this
+// is one or two repeats, so that six entries that restart together stay within the
+// allowance.
 const (
-	youngShare   = 0.5
-	youngEntries = 12
+	startupExtraShare = 0.5
+	startupMinEntries = 12
 )
 
 // Budget counts requests and repeats. It is not safe for concurrent use.
@@ -46,34 +47,34 @@
 
 type usage struct{ requests, repeats []time.Time }
 
-// New makes an unused budget; started is when this entry began.
+// New returns an unused budget; started is when this entry started.
 func New(config Config, started time.Time) *Budget {
 	return &Budget{config: config, started: started, services: make(map[string]*usage)}
 }
 
-// SetConfig replaces the allowance. What has been used stays counted.
+// SetConfig replaces the allowance. Requests and repeats remain counted.
 func (b *Budget) SetConfig(config Config) { b.config = config }
 
 // Request counts a request for a service.
 func (b *Budget) Request(now time.Time, service string) {
-	u := b.of(service)
+	u := b.usageOf(service)
 	u.requests = append(prune(u.requests, now.Add(-b.config.Window)), now)
 }
 
-// Repeat counts a repeat, unless the allowance is used up. entries is the number
-// of entries that share the extra.
+// Repeat counts a repeat and returns true, unless the allowance is used up. entries is
+// the number of entries that share the extra.
 func (b *Budget) Repeat(now time.Time, service string, entries int) bool {
 	if b.Left(now, service, entries) < 1 {
 		return false
 	}
-	u := b.of(service)
+	u := b.usageOf(service)
 	u.repeats = append(u.repeats, now)
 	return true
 }
 
-// Left is the number of repeats that may still be made now.
+// Left returns the number of repeats that may still be made now.
 func (b *Budget) Left(now time.Time, service string, entries int) float64 {
-	u := b.of(service)
+	u := b.usageOf(service)
 	since := now.Add(-b.config.Window)
 	u.requests = prune(u.requests, since)
 	u.repeats = prune(u.repeats, since)
@@ -81,9 +82,9 @@
 	if now.Sub(b.started) >= b.config.Window {
 		allowance += b.config.Extra / float64(max(1, entries))
 	} else {
-		allowance += youngShare * b.config.Extra / float64(max(youngEntries, entries))
+		allowance += startupExtraShare * b.config.Extra / float64(max(startupMinEntries, entries))
 	}
-	return safety*allowance - float64(len(u.repeats))
+	return safetyFactor*allowance - float64(len(u.repeats))
 }
 
 // Services returns the services that have had requests.
@@ -91,7 +92,7 @@
 	return slices.Sorted(maps.Keys(b.services))
 }
 
-func (b *Budget) of(service string) *usage {
+func (b *Budget) usageOf(service string) *usage {
 	u, found := b.services[service]
 	if !found {
 		u = &usage{}
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -11,19 +11,19 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// old is when an entry began that has long been running.
-var old = now.Add(-time.Hour)
+// longAgo is the start of an entry that has been running for a long time.
+var longAgo = now.Add(-time.Hour)
 
 const window = 10 * time.Second
 
-// A service fails all requests and six entries repeat each. Together they must stay
-// within the ratio and the extra, though they do not talk about it.
+// A service fails all requests, and six entries repeat each. Together they must stay
+// within the ratio and the extra without exchanging messages.
 func TestEntriesTogetherStayWithinTheAllowance(t *testing.T) {
 	g := NewWithT(t)
 	const entries, requests, ratio, extra = 6, 100, 0.2, 52.0
 	repeats := 0
 	for range entries {
-		b := budget.New(budget.Config{Window: window, Ratio: ratio, Extra: extra}, old)
+		b := budget.New(budget.Config{Window: window, Ratio: ratio, Extra: extra}, longAgo)
 		for range requests {
 			b.Request(now, "desk")
 			if b.Repeat(now, "desk", entries) {
@@ -35,9 +35,10 @@
 	g.Expect(float64(repeats)).To(BeNumerically(">", 0.7*(ratio*entries*requests+extra)))
 }
 
-// A service fails all requests; all entries are killed and start again, and do not know
-// each other yet. Each would take the whole extra once more, within the same window.
-func TestRestartDoesNotBringTheExtraBack(t *testing.T) {
+// A service fails all requests. All entries are killed and restart without a list of
+// the others yet. If each used the whole extra again, they would exceed it within the
+// same window.
+func TestRestartDoesNotRenewTheExtra(t *testing.T) {
 	g := NewWithT(t)
 	const entries, extra = 6, 52.0
 	repeats := 0
@@ -54,17 +55,17 @@
 	g.Expect(repeats).To(BeNumerically("<=", extra))
 }
 
-func TestAllowanceComesBackWithTheWindow(t *testing.T) {
+func TestAllowanceIsRenewedAfterTheWindow(t *testing.T) {
 	g := NewWithT(t)
-	b := budget.New(budget.Config{Window: window, Extra: 2}, old)
+	b := budget.New(budget.Config{Window: window, Extra: 2}, longAgo)
 	g.Expect(b.Repeat(now, "desk", 1)).To(BeTrue())
 	g.Expect(b.Repeat(now, "desk", 1)).To(BeFalse())
 	g.Expect(b.Repeat(now.Add(window+time.Millisecond), "desk", 1)).To(BeTrue())
 }
 
-func TestServicesHaveTheirOwnAllowance(t *testing.T) {
+func TestAllowanceIsPerService(t *testing.T) {
 	g := NewWithT(t)
-	b := budget.New(budget.Config{Window: window, Extra: 2}, old)
+	b := budget.New(budget.Config{Window: window, Extra: 2}, longAgo)
 	g.Expect(b.Repeat(now, "desk", 1)).To(BeTrue())
 	g.Expect(b.Repeat(now, "other", 1)).To(BeTrue())
 }
