--- a/internal/core/orders/orders.go
+++ b/internal/core/orders/orders.go
@@ -1,20 +1,20 @@
-// Package orders brings targets to hold the models that the document wants.
+// Package orders makes targets load the models that the document requires.
 //
-// An order is absolute ("be at version v"), so repeating it is harmless. The
-// holder of a target, its scheduler, appends the order to the log, and only
-// after reading its own record back does it send the order, with the record's
-// offset as the fencing number. It looks at what the target says it holds, and
-// orders anew until that agrees.
+// An order is absolute ("be at version v"), so that repeating it is harmless. The
+// holder of a target, its scheduler, appends the order to the log, and sends it only
+// after reading its own record back, with the record's offset as the fencing number. It
+// compares the order with what the target reports to hold, and orders again until these
+// agree.
 //
-// Two may believe to be holders. A target that checks fencing numbers refuses
-// the older. For one that does not, an order is sent only for a limited time
-// after its append was begun (the validity), and a new holder waits that time
-// out before its first; what a paused process sends later all the same is put
-// right by the repeat. A holder that reads a later order of another for its
-// target stands back, so that two that want different things do not alternate.
+// Two entries may consider themselves the holder. A target that checks fencing numbers
+// refuses the older order. For one that does not, an order is sent only for a limited
+// time after its append began (the validity), and a new holder waits for that time
+// before its first order. If a paused process sends an order later than that, the
+// repeated order corrects it. A holder that reads a later order of another for its
+// target yields, so that two holders with different documents do not alternate.
 //
-// The log's order also gives out the places at the weight store: the first
-// PerPool unfinished orders of a pool proceed, at whichever entry.
+// The order of the log also assigns the slots at the weight store: the first PerPool
+// unfinished orders of a pool proceed, whichever entry made them.
 package orders
 
 import (
@@ -26,20 +26,20 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// Config bounds what one entry orders.
+// Config limits the orders of one entry.
 type Config struct {
 	Self ident.Incarnation
-	// PerPool bounds the targets of a pool that load at one time.
+	// PerPool is the maximum number of targets of a pool that load at the same time.
 	PerPool int
-	// Validity is how long after its append was begun an order may be sent.
+	// Validity is how long after the start of its append an order may be sent.
 	Validity time.Duration
-	// RepeatAfter is how long a target may take to agree before it is ordered
-	// anew. It must leave time for loading. An order that is not seen to agree
-	// for so long also gives its place in the pool free.
+	// RepeatAfter is how long a target may take to agree before the order is repeated.
+	// It must leave time for loading. An order that has not been seen to agree for that
+	// long also releases its slot in the pool.
 	RepeatAfter time.Duration
 }
 
-// DefaultConfig is what an entry uses.
+// DefaultConfig returns the configuration of an entry.
 func DefaultConfig(self ident.Incarnation) Config {
 	return Config{
 		Self:        self,
@@ -49,16 +49,16 @@
 	}
 }
 
-// Effect is something to be done.
+// Effect is an action for the caller.
 type Effect interface{ effect() }
 
-// Append writes a record to the stream of orders; answered by Appended.
+// Append writes a record to the stream of orders; the result is passed to Appended.
 type Append struct {
 	Tag    uint64
 	Record record.Record
 }
 
-// Order tells a target what to hold; answered by OrderDone.
+// Order sends a target what to hold; the result is passed to OrderDone.
 type Order struct {
 	Target   string
 	Fencing  int64
@@ -70,45 +70,45 @@
 func (Append) effect() {}
 func (Order) effect()  {}
 
-// holding is what a target holds or is to hold.
-type holding struct {
+// modelSet is what a target holds or should hold.
+type modelSet struct {
 	model    string
 	version  string
 	adapters []string
 }
 
-func (h holding) equal(other holding) bool {
+func (h modelSet) equal(other modelSet) bool {
 	return h.model == other.model && h.version == other.version && slices.Equal(h.adapters, other.adapters)
 }
 
-// Orders is the state of one entry. Not safe for concurrent use.
+// Orders is the state of one entry. It is not safe for concurrent use.
 type Orders struct {
 	cfg     Config
 	targets map[string]*target
-	// pools holds the document's targets in its order, held those of which
+	// pools contains the document's targets in its order, held the targets of which
 	// this entry is the holder.
 	pools map[string][]*target
 	held  []*target
-	// caught: the stream was read to its end and can be read.
-	caught bool
-	tags   uint64
-	out    []Effect
+	// caughtUp: the stream was read to its end and is readable.
+	caughtUp bool
+	lastTag  uint64
+	out      []Effect
 }
 
-// New starts with no document and no target held.
+// New returns an Orders without a document or held targets.
 func New(cfg Config) *Orders {
 	return &Orders{cfg: cfg, targets: make(map[string]*target)}
 }
 
-// SetDocument takes the document in force.
+// SetDocument applies the document in force.
 func (o *Orders) SetDocument(now time.Time, x *document.Index) []Effect {
 	o.out = nil
 	o.pools = make(map[string][]*target)
-	former := o.targets
+	previous := o.targets
 	o.targets = make(map[string]*target, len(x.Document().Targets))
 	for i := range x.Document().Targets {
 		d := &x.Document().Targets[i]
-		t := former[d.Name]
+		t := previous[d.Name]
 		if t == nil {
 			t = &target{name: d.Name}
 		}
@@ -117,39 +117,39 @@
 		o.pools[d.Pool] = append(o.pools[d.Pool], t)
 	}
 	o.held = slices.DeleteFunc(o.held, func(t *target) bool { return o.targets[t.name] == nil })
-	o.act(now)
+	o.advance(now)
 	return o.out
 }
 
-// SetHeld says of which targets this entry is the holder; those that the
-// document does not list are passed over.
+// SetHeld sets the targets of which this entry is the holder; targets that are not in
+// the document are ignored.
 func (o *Orders) SetHeld(now time.Time, targets []string) []Effect {
 	o.out = nil
-	former := o.held
+	previous := o.held
 	o.held = nil
 	for _, name := range targets {
 		t := o.targets[name]
 		if t == nil || slices.Contains(o.held, t) {
 			continue
 		}
-		if !slices.Contains(former, t) {
-			t.take(now)
+		if !slices.Contains(previous, t) {
+			t.beginHolding(now)
 		}
 		o.held = append(o.held, t)
 	}
-	o.act(now)
+	o.advance(now)
 	return o.out
 }
 
-// Observed says what a target holds, by its own report, which lags. Reports of
-// targets held elsewhere free their places in the pool.
+// Observed applies a target's own report of what it holds, which lags. Reports of
+// targets held by other entries release their slots in the pool.
 func (o *Orders) Observed(now time.Time, name, model, version string, adapters []string) []Effect {
 	o.out = nil
 	t := o.targets[name]
 	if t == nil {
 		return nil
 	}
-	seen := holding{model: model, version: version, adapters: sorted(adapters)}
+	seen := modelSet{model: model, version: version, adapters: sorted(adapters)}
 	if t.agrees(seen) {
 		return nil
 	}
@@ -157,16 +157,16 @@
 	if t.latest.offset != 0 && t.observed.equal(t.latest.order) {
 		t.latest.finished = true
 	}
-	o.act(now)
+	o.advance(now)
 	return o.out
 }
 
-// Watched lists targets held elsewhere whose reports decide here: those with an
-// unfinished order in a pool where a target held here waits for a place.
+// Watched lists targets held by other entries whose reports are needed here: those with
+// an unfinished order in a pool where a target held here waits for a slot.
 func (o *Orders) Watched(now time.Time) []string {
 	var names []string
 	for _, t := range o.held {
-		if t.wanted == nil || t.observed == nil || t.agrees(*t.wanted) {
+		if t.desired == nil || t.observed == nil || t.agrees(*t.desired) {
 			continue
 		}
 		for _, other := range o.pools[t.pool] {
@@ -178,43 +178,44 @@
 	return names
 }
 
-// Record takes the next record of the stream, in log order. Age is how long
-// ago the log took it.
+// Record applies the next record of the stream, in log order. Age is the time since the
+// log accepted it.
 func (o *Orders) Record(now time.Time, offset int64, age time.Duration, rec record.Order) []Effect {
 	o.out = nil
 	t := o.targets[rec.Target]
 	if t == nil || offset <= t.latest.offset {
 		return nil
 	}
-	order := holding{model: rec.Model, version: rec.Version, adapters: sorted(rec.Adapters)}
-	t.latest = logged{offset: offset, order: order, holder: rec.Holder, taken: now.Add(-age)}
+	order := modelSet{model: rec.Model, version: rec.Version, adapters: sorted(rec.Adapters)}
+	t.latest = loggedOrder{offset: offset, order: order, holder: rec.Holder, loggedAt: now.Add(-age)}
 	t.latest.finished = t.agrees(order)
-	// An order of before this entry's hold is the former holder's, who is
-	// replaced; a later one is of another that may be the holder now.
-	if rec.Holder != o.cfg.Self && o.caught && t.latest.taken.After(t.from) {
-		t.standBack()
+	// An order from before this entry became the holder is the previous holder's, which
+	// has been replaced. A later one comes from another entry that may be the holder
+	// now.
+	if rec.Holder != o.cfg.Self && o.caughtUp && t.latest.loggedAt.After(t.heldSince) {
+		t.yield()
 	}
-	o.act(now)
+	o.advance(now)
 	return o.out
 }
 
-// CaughtUp says that the stream was read to its end. Before that this entry
-// does not know what others ordered, and orders nothing.
+// CaughtUp states that the stream was read to its end. Before that the orders of others
+// are not known, and this entry orders nothing.
 func (o *Orders) CaughtUp(now time.Time) []Effect {
 	o.out = nil
-	o.caught = true
-	o.act(now)
+	o.caughtUp = true
+	o.advance(now)
 	return o.out
 }
 
-// Down says that the stream cannot be read: no order can be fenced.
+// Down states that the stream cannot be read, so that no order can be fenced.
 func (o *Orders) Down(time.Time) []Effect {
-	o.caught = false
+	o.caughtUp = false
 	return nil
 }
 
-// Appended answers an Append. Only a certain failure needs attention: all else
-// is settled by reading back, or by ordering anew.
+// Appended applies the result of an Append. Only a definite failure needs a reaction:
+// all else is resolved by reading the record back or by ordering again.
 func (o *Orders) Appended(now time.Time, tag uint64, _ int64, failed bool) []Effect {
 	for _, t := range o.held {
 		if failed && t.stage == stageAppending && t.tag == tag {
@@ -224,15 +225,15 @@
 	return nil
 }
 
-// OrderDone answers an Order.
+// OrderDone applies the result of an Order.
 func (o *Orders) OrderDone(now time.Time, name string, refused, failed bool) []Effect {
 	t := o.targets[name]
 	if t == nil || t.stage != stageSent {
 		return nil
 	}
 	if refused {
-		// The target knows a later order, whose record will be read in time.
-		t.standBack()
+		// The target has received a later order, whose record will be read in time.
+		t.yield()
 	}
 	if refused || failed {
 		t.stage, t.notBefore = stageIdle, now.Add(o.cfg.Validity)
@@ -240,10 +241,10 @@
 	return nil
 }
 
-// Tick lets time pass.
+// Tick performs what has become due.
 func (o *Orders) Tick(now time.Time) []Effect {
 	o.out = nil
-	o.act(now)
+	o.advance(now)
 	return o.out
 }
 
--- a/internal/core/orders/orders_test.go
+++ b/internal/core/orders/orders_test.go
@@ -19,8 +19,9 @@
 	RunSpecs(t, "orders")
 }
 
-// index wants version v of model m, with adapters, at targets of a
-// class that checks fencing numbers and at one of a class that does not.
+// index returns a document that requires a version of model m, with adapters, at
+// targets of a class that checks fencing numbers, and of model o at a target of a class
+// that does not.
 func index(version string) *document.Index {
 	return document.NewIndex(&document.Document{
 		Pools: []document.Pool{{Name: "p"}, {Name: "q"}},
@@ -43,58 +44,60 @@
 	})
 }
 
-// engine holds what it was last ordered, at once; some check fencing numbers.
+// engine holds what it was last ordered, without delay; some engines check fencing
+// numbers.
 type engine struct {
 	checks  bool
 	fencing int64
 	held    orders.Order
 }
 
-type world struct {
-	now     time.Time
-	log     []record.Order
-	taken   []time.Time
-	engines map[string]*engine
-	// lose: appends land and no answer comes, or neither.
+type testEnv struct {
+	now      time.Time
+	log      []record.Order
+	loggedAt []time.Time
+	engines  map[string]*engine
+	// loseAnswer: appends are written but not confirmed; loseRecord: they are not even
+	// written.
 	loseAnswer, loseRecord bool
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1_000_000, 0), engines: map[string]*engine{}}
+func newTestEnv() *testEnv {
+	env := &testEnv{now: time.Unix(1_000_000, 0), engines: map[string]*engine{}}
 	for _, name := range []string{"c1", "c2", "c3", "c4", "t1"} {
-		w.engines[name] = &engine{checks: name[0] == 'c'}
+		env.engines[name] = &engine{checks: name[0] == 'c'}
 	}
-	return w
+	return env
 }
 
 type holder struct {
 	*orders.Orders
-	w    *world
+	env  *testEnv
 	next int
-	// paused holds orders back that are on their way out of the process.
-	paused bool
-	onWay  []orders.Order
-	sent   []string
+	// delayOrders keeps orders that are on their way out of the process in outgoing.
+	delayOrders bool
+	outgoing    []orders.Order
+	sent        []string
 }
 
-func (w *world) holder(name ident.Incarnation, held ...string) *holder {
+func (env *testEnv) holder(name ident.Incarnation, held ...string) *holder {
 	cfg := orders.DefaultConfig(name)
-	h := &holder{Orders: orders.New(cfg), w: w}
-	h.do(h.SetDocument(w.now, index("1")))
-	h.do(h.CaughtUp(w.now))
-	h.do(h.SetHeld(w.now, held))
+	h := &holder{Orders: orders.New(cfg), env: env}
+	h.perform(h.SetDocument(env.now, index("1")))
+	h.perform(h.CaughtUp(env.now))
+	h.perform(h.SetHeld(env.now, held))
 	return h
 }
 
-func (h *holder) do(effects []orders.Effect) {
+func (h *holder) perform(effects []orders.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case orders.Append:
 			h.append(e)
 		case orders.Order:
 			h.sent = append(h.sent, fmt.Sprintf("%s=%s%v#%d", e.Target, e.Version, e.Adapters, e.Fencing))
-			h.onWay = append(h.onWay, e)
-			if !h.paused {
+			h.outgoing = append(h.outgoing, e)
+			if !h.delayOrders {
 				h.deliver()
 			}
 		}
@@ -102,113 +105,114 @@
 }
 
 func (h *holder) append(e orders.Append) {
-	if h.w.loseRecord {
-		h.do(h.Appended(h.w.now, e.Tag, -1, false))
+	if h.env.loseRecord {
+		h.perform(h.Appended(h.env.now, e.Tag, -1, false))
 		return
 	}
-	h.w.log = append(h.w.log, *e.Record.Order)
-	h.w.taken = append(h.w.taken, h.w.now)
-	offset := int64(len(h.w.log))
-	if h.w.loseAnswer {
+	h.env.log = append(h.env.log, *e.Record.Order)
+	h.env.loggedAt = append(h.env.loggedAt, h.env.now)
+	offset := int64(len(h.env.log))
+	if h.env.loseAnswer {
 		offset = -1
 	}
-	h.do(h.Appended(h.w.now, e.Tag, offset, false))
+	h.perform(h.Appended(h.env.now, e.Tag, offset, false))
 }
 
 func (h *holder) deliver() {
-	for _, o := range h.onWay {
-		e := h.w.engines[o.Target]
+	for _, o := range h.outgoing {
+		e := h.env.engines[o.Target]
 		refused := e.checks && o.Fencing < e.fencing
 		if !refused {
 			e.held, e.fencing = o, max(e.fencing, o.Fencing)
 		}
-		h.do(h.OrderDone(h.w.now, o.Target, refused, false))
+		h.perform(h.OrderDone(h.env.now, o.Target, refused, false))
 	}
-	h.onWay = nil
+	h.outgoing = nil
 }
 
-// look reads the log and the engines' reports.
-func (h *holder) look(targets ...string) {
-	for ; h.next < len(h.w.log); h.next++ {
-		h.do(h.Record(h.w.now, int64(h.next+1), h.w.now.Sub(h.w.taken[h.next]), h.w.log[h.next]))
+// poll reads the log and the engines' reports.
+func (h *holder) poll(targets ...string) {
+	for ; h.next < len(h.env.log); h.next++ {
+		h.perform(h.Record(h.env.now, int64(h.next+1), h.env.now.Sub(h.env.loggedAt[h.next]), h.env.log[h.next]))
 	}
 	for _, name := range targets {
-		held := h.w.engines[name].held
-		h.do(h.Observed(h.w.now, name, held.Model, held.Version, held.Adapters))
+		held := h.env.engines[name].held
+		h.perform(h.Observed(h.env.now, name, held.Model, held.Version, held.Adapters))
 	}
-	h.do(h.Tick(h.w.now))
+	h.perform(h.Tick(h.env.now))
 }
 
-func (w *world) pass(d time.Duration) { w.now = w.now.Add(d) }
+func (env *testEnv) advance(d time.Duration) { env.now = env.now.Add(d) }
 
 var _ = Describe("orders", func() {
-	It("bring a target to the version and the adapters of its pool", func() {
-		w := newWorld()
-		h := w.holder("a", "c1")
-		h.look("c1")
-		h.look("c1")
+	It("make a target hold the version and the adapters of its pool", func() {
+		env := newTestEnv()
+		h := env.holder("a", "c1")
+		h.poll("c1")
+		h.poll("c1")
 		Expect(h.sent).To(Equal([]string{"c1=1[x y]#1"}))
-		h.look("c1")
-		Expect(w.log).To(HaveLen(1), "agrees, nothing more to do")
-		h.do(h.SetDocument(w.now, index("2")))
-		h.look("c1")
+		h.poll("c1")
+		Expect(env.log).To(HaveLen(1), "the target agrees")
+		h.perform(h.SetDocument(env.now, index("2")))
+		h.poll("c1")
 		Expect(h.sent[1:]).To(Equal([]string{"c1=2[x y]#2"}))
 	})
 
-	It("leave a target alone whose report was not seen, or whose document has no version", func() {
-		w := newWorld()
-		h := w.holder("a", "c1", "c2")
-		h.do(h.SetDocument(w.now, index("")))
-		h.look("c2")
-		h.look("c2")
-		h.do(h.SetDocument(w.now, index("1")))
-		h.look()
-		h.look()
+	It("are not sent to a target without a report, or without a version in the document", func() {
+		env := newTestEnv()
+		h := env.holder("a", "c1", "c2")
+		h.perform(h.SetDocument(env.now, index("")))
+		h.poll("c2")
+		h.poll("c2")
+		h.perform(h.SetDocument(env.now, index("1")))
+		h.poll()
+		h.poll()
 		Expect(h.sent).To(ConsistOf(HavePrefix("c2=")))
 	})
 
-	// The append's answer is lost. The record is on the log, so reading it back
-	// gives the fencing number; if it is not, the order is made anew later.
+	// The answer to the append is lost. If the record is on the log, reading it back
+	// gives the fencing number; otherwise the order is repeated later.
 	DescribeTable("survive a lost answer", func(recordToo bool, after time.Duration) {
-		w := newWorld()
-		h := w.holder("a", "c1")
-		w.loseAnswer, w.loseRecord = true, recordToo
-		h.look("c1")
-		w.loseAnswer, w.loseRecord = false, false
-		w.pass(after)
-		h.look("c1")
-		h.look("c1")
+		env := newTestEnv()
+		h := env.holder("a", "c1")
+		env.loseAnswer, env.loseRecord = true, recordToo
+		h.poll("c1")
+		env.loseAnswer, env.loseRecord = false, false
+		env.advance(after)
+		h.poll("c1")
+		h.poll("c1")
 		Expect(h.sent).To(Equal([]string{"c1=1[x y]#1"}))
 	},
-		Entry("record landed", false, time.Millisecond),
+		Entry("record written", false, time.Millisecond),
 		Entry("record lost", true, time.Minute),
 	)
 
-	It("load no more targets of a pool at one time than the weight store bears", func() {
-		w := newWorld()
-		h := w.holder("a", "c1", "c2", "c3")
-		h.paused = true
-		h.look("c1", "c2", "c3")
-		h.look("c1", "c2", "c3")
+	It("load no more targets of a pool at the same time than the weight store may serve", func() {
+		env := newTestEnv()
+		h := env.holder("a", "c1", "c2", "c3")
+		h.delayOrders = true
+		h.poll("c1", "c2", "c3")
+		h.poll("c1", "c2", "c3")
 		Expect(h.sent).To(HaveLen(2))
 		h.deliver()
-		h.look("c1", "c2", "c3")
-		h.look("c1", "c2", "c3")
+		h.poll("c1", "c2", "c3")
+		h.poll("c1", "c2", "c3")
 		Expect(h.sent).To(HaveLen(3))
 	})
 
-	// Four entries begin an order in the same pool at one time, each unaware of
-	// the others. The log's order says who goes first, and who when one is done.
-	It("share a pool's places between holders in the order of the log", func() {
-		w := newWorld()
+	// Four entries begin an order in the same pool at the same time, without contact.
+	// The order of the log determines which proceed first, and which one follows when
+	// one is done.
+	It("share a pool's slots between holders in the order of the log", func() {
+		env := newTestEnv()
 		names := []string{"c1", "c2", "c3", "c4"}
 		var holders []*holder
 		for i, name := range names {
-			h := w.holder(ident.Incarnation(fmt.Sprint("h", i)), name)
-			h.do(h.Observed(w.now, name, "", "", nil))
+			h := env.holder(ident.Incarnation(fmt.Sprint("h", i)), name)
+			h.perform(h.Observed(env.now, name, "", "", nil))
 			holders = append(holders, h)
 		}
-		Expect(w.log).To(HaveLen(4))
+		Expect(env.log).To(HaveLen(4))
 		sent := func() (out []int) {
 			for _, h := range holders {
 				out = append(out, len(h.sent))
@@ -216,102 +220,103 @@
 			return out
 		}
 		for _, h := range holders {
-			h.look()
+			h.poll()
 		}
 		Expect(sent()).To(Equal([]int{1, 1, 0, 0}))
 		for _, h := range holders {
-			h.look("c1")
+			h.poll("c1")
 		}
 		Expect(sent()).To(Equal([]int{1, 1, 1, 0}))
 	})
 
-	It("stop while the log is down, since nothing can be fenced", func() {
-		w := newWorld()
-		h := w.holder("a", "c1")
-		h.do(h.Down(w.now))
-		h.look("c1")
-		Expect(w.log).To(BeEmpty())
-		h.do(h.CaughtUp(w.now))
-		h.look("c1")
+	It("stop while the log is unavailable, since no order can be fenced", func() {
+		env := newTestEnv()
+		h := env.holder("a", "c1")
+		h.perform(h.Down(env.now))
+		h.poll("c1")
+		Expect(env.log).To(BeEmpty())
+		h.perform(h.CaughtUp(env.now))
+		h.poll("c1")
 		Expect(h.sent).To(HaveLen(1))
 	})
 })
 
 var _ = Describe("a paused holder", func() {
-	// The holder is paused after its order left the core and before it left
-	// the process. A new holder brings the target to a later version. Then the
-	// old order goes out: the target refuses its fencing number.
+	// The holder is paused after its order left the core and before it left the
+	// process. A new holder makes the target load a later version. Then the old order
+	// is sent: the target must refuse its fencing number.
 	It("is refused by a target that checks fencing", func() {
-		w := newWorld()
-		old := w.holder("a", "c1")
-		old.paused = true
-		old.look("c1")
-		old.look()
-		w.pass(time.Minute)
-		fresh := w.holder("b", "c1")
-		fresh.do(fresh.SetDocument(w.now, index("2")))
-		fresh.look("c1")
-		fresh.look("c1")
-		Expect(w.engines["c1"].held.Version).To(Equal("2"))
-		old.deliver()
-		Expect(w.engines["c1"].held.Version).To(Equal("2"))
-		w.pass(time.Second)
-		old.look("c1")
-		Expect(old.sent).To(HaveLen(1), "it reads that another ordered later")
+		env := newTestEnv()
+		paused := env.holder("a", "c1")
+		paused.delayOrders = true
+		paused.poll("c1")
+		paused.poll()
+		env.advance(time.Minute)
+		successor := env.holder("b", "c1")
+		successor.perform(successor.SetDocument(env.now, index("2")))
+		successor.poll("c1")
+		successor.poll("c1")
+		Expect(env.engines["c1"].held.Version).To(Equal("2"))
+		paused.deliver()
+		Expect(env.engines["c1"].held.Version).To(Equal("2"))
+		env.advance(time.Second)
+		paused.poll("c1")
+		Expect(paused.sent).To(HaveLen(1), "it reads the later order of another holder")
 	})
 
-	// The same with a target that takes any order. The old order undoes the new
-	// one; the new holder sees that in the report and orders again.
-	It("is put right at a target that does not check", func() {
-		w := newWorld()
-		old := w.holder("a", "t1")
-		w.pass(5 * time.Second)
-		old.paused = true
-		old.look("t1")
-		old.look()
-		Expect(old.sent).To(HaveLen(1))
-		fresh := w.holder("b", "t1")
-		fresh.do(fresh.SetDocument(w.now, index("2")))
-		fresh.look("t1")
-		fresh.look("t1")
-		Expect(fresh.sent).To(BeEmpty(), "the former holder's orders are still valid")
-		w.pass(5 * time.Second)
-		fresh.look("t1")
-		fresh.look("t1")
-		Expect(w.engines["t1"].held.Version).To(Equal("2"))
-		old.deliver()
-		Expect(w.engines["t1"].held.Version).To(Equal("1"))
-		fresh.look("t1")
-		fresh.look("t1")
-		Expect(w.engines["t1"].held.Version).To(Equal("2"))
+	// The same with a target that accepts any order. The old order reverts the new one;
+	// the new holder must notice this in the report and order again.
+	It("is corrected at a target that does not check fencing", func() {
+		env := newTestEnv()
+		paused := env.holder("a", "t1")
+		env.advance(5 * time.Second)
+		paused.delayOrders = true
+		paused.poll("t1")
+		paused.poll()
+		Expect(paused.sent).To(HaveLen(1))
+		successor := env.holder("b", "t1")
+		successor.perform(successor.SetDocument(env.now, index("2")))
+		successor.poll("t1")
+		successor.poll("t1")
+		Expect(successor.sent).To(BeEmpty(), "the previous holder's orders are still valid")
+		env.advance(5 * time.Second)
+		successor.poll("t1")
+		successor.poll("t1")
+		Expect(env.engines["t1"].held.Version).To(Equal("2"))
+		paused.deliver()
+		Expect(env.engines["t1"].held.Version).To(Equal("1"))
+		successor.poll("t1")
+		successor.poll("t1")
+		Expect(env.engines["t1"].held.Version).To(Equal("2"))
 	})
 
-	// Paused between the append and its reading back, past the validity. The
-	// order does not leave the process any more; where fencing is checked it may.
-	DescribeTable("does not send what is past its validity", func(target string, sends int) {
-		w := newWorld()
-		h := w.holder("a", target)
-		w.pass(5 * time.Second)
-		h.look(target)
-		Expect(w.log).To(HaveLen(1))
-		w.pass(6 * time.Second)
-		h.do(h.Record(w.now, 1, 6*time.Second, w.log[0]))
+	// The holder is paused between the append and its reading back, past the validity.
+	// The order must not leave the process; if fencing is checked it may.
+	DescribeTable("does not send an order past its validity", func(target string, sends int) {
+		env := newTestEnv()
+		h := env.holder("a", target)
+		env.advance(5 * time.Second)
+		h.poll(target)
+		Expect(env.log).To(HaveLen(1))
+		env.advance(6 * time.Second)
+		h.perform(h.Record(env.now, 1, 6*time.Second, env.log[0]))
 		Expect(h.sent).To(HaveLen(sends))
 	},
 		Entry("target that does not check", "t1", 0),
 		Entry("target that checks", "c1", 1),
 	)
 
-	// Two entries believe to hold one target and want different versions. The
-	// one whose order is earlier in the log stands back; they do not alternate.
-	It("does not alternate with another that wants something else", func() {
-		w := newWorld()
-		a, b := w.holder("a", "c1"), w.holder("b", "c1")
-		b.do(b.SetDocument(w.now, index("2")))
+	// Two entries consider themselves the holder of one target and have documents with
+	// different versions. The one whose order is earlier in the log yields; they must
+	// not alternate.
+	It("does not alternate with another holder that has a different document", func() {
+		env := newTestEnv()
+		a, b := env.holder("a", "c1"), env.holder("b", "c1")
+		b.perform(b.SetDocument(env.now, index("2")))
 		for range 20 {
-			w.pass(time.Second)
-			a.look("c1")
-			b.look("c1")
+			env.advance(time.Second)
+			a.poll("c1")
+			b.poll("c1")
 		}
 		Expect(len(a.sent) + len(b.sent)).To(BeNumerically("<=", 2))
 	})
