--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,25 +1,25 @@
-// Package outcome holds the final word on a request: what became of it, why,
-// and when its caller should come back. Every answer to a caller carries one
-// Status, formed here, so that "not run" has one meaning in the whole system.
+// Package outcome defines the final outcome of a request: what happened to it, why, and
+// when its caller should retry. Every answer to a caller carries one Status, formed
+// here, so that "not run" has the same meaning in the whole system.
 package outcome
 
 import "time"
 
-// Outcome says what became of a request.
+// Outcome is what finally happened to a request.
 type Outcome string
 
 const (
-	// Answered: the whole answer was delivered.
+	// Answered: the complete answer was delivered.
 	Answered Outcome = "answered"
-	// NotRun: refused; no target began it, and none will.
+	// NotRun: the request was refused; no target began it, and none will.
 	NotRun Outcome = "not_run"
-	// RanInPart: a target began it and the answer is incomplete.
+	// RanInPart: a target began the request and the answer is incomplete.
 	RanInPart Outcome = "ran_in_part"
-	// Unknown: nobody who can be asked knows whether it ran.
+	// Unknown: no process that can be asked has a record of whether the request ran.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why, for callers, logs and metrics.
+// Reason explains an outcome to callers, logs and metrics.
 type Reason string
 
 const (
@@ -40,8 +40,8 @@
 	ReasonDisplaced         Reason = "displaced_by_higher_tier"
 	ReasonDeadline          Reason = "deadline_cannot_be_met"
 	ReasonDeadlinePassed    Reason = "deadline_passed"
-	// ReasonArrivedLate: its bounds were as good as past when it arrived, so
-	// that no target, idle or not, could have kept them.
+	// ReasonArrivedLate: the deadlines were so close on arrival that not even an idle
+	// target could have met them.
 	ReasonArrivedLate      Reason = "arrived_too_late"
 	ReasonNoTarget         Reason = "no_target"
 	ReasonLogUnavailable   Reason = "log_unavailable"
@@ -60,7 +60,7 @@
 	ReasonStopped          Reason = "entry_stopped"
 )
 
-// Load reports whether the reason is a want of capacity. Only such a refusal
+// CapacityRelated reports whether the reason is a lack of capacity. Only such a refusal
 // is bound by the order of tiers: a malformed request may be refused at any time.
 func (r Reason) Load() bool {
 	switch r {
@@ -70,32 +70,33 @@
 	return false
 }
 
-// Status is the final word on one request.
+// Status is the final outcome of one request.
 type Status struct {
 	Outcome Outcome `json:"outcome" cbor:"1,keyasint"`
 	Reason  Reason  `json:"reason,omitempty" cbor:"2,keyasint,omitempty"`
-	// RetryAfter tells the caller when to come back; zero: no advice.
+	// RetryAfter is when the caller should retry; zero: no advice.
 	RetryAfter time.Duration `json:"-" cbor:"3,keyasint,omitempty"`
-	// Detail is a sentence for a person; never content of a request.
+	// Detail is a human-readable sentence. It never has content of a request.
 	Detail string `json:"detail,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Refused forms the status of a request that did not and will not run.
+// Refused returns the status of a request that did not run and will not.
 func Refused(reason Reason, retryAfter time.Duration, detail string) Status {
 	return Status{Outcome: NotRun, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Partial forms the status of a request that a target began.
+// Partial returns the status of a request that a target began but did not answer
+// completely.
 func Partial(reason Reason, detail string) Status {
 	return Status{Outcome: RanInPart, Reason: reason, Detail: detail}
 }
 
-// Undetermined forms the status of a request of which nobody can say whether it ran.
+// Undetermined returns the status of a request for which nothing shows whether it ran.
 func Undetermined(reason Reason, detail string) Status {
 	return Status{Outcome: Unknown, Reason: reason, Detail: detail}
 }
 
-// Complete is the status of a request whose whole answer was delivered.
+// Complete returns the status of a request whose complete answer was delivered.
 func Complete() Status {
 	return Status{Outcome: Answered}
 }
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,5 +1,5 @@
-// Package request describes a request to the core: everything that a decision
-// needs, and nothing of its content.
+// Package request defines the metadata of a request as the core uses it: all that
+// decisions need, and none of the content.
 package request
 
 import (
@@ -14,21 +14,21 @@
 // Above reports whether t is more important than other.
 func (t Tier) Above(other Tier) bool { return t < other }
 
-// Kind tells model engines from plain services.
+// Kind distinguishes requests for model engines from requests for plain services.
 type Kind uint8
 
 const (
 	// Engine requests generate tokens and can be resumed by stream id.
 	Engine Kind = iota
-	// Service requests are plain HTTP calls, passed whole.
+	// Service requests are plain HTTP calls that are forwarded in full.
 	Service
 )
 
 // KeyHash is the hex SHA-256 of organisation and Idempotency-Key; empty: no key.
 type KeyHash string
 
-// Fingerprint identifies organisation, model and body, to recognise a request
-// that is sent again under another id.
+// Fingerprint identifies organisation, model and body. It is used to recognise a
+// request that is sent again under another id.
 type Fingerprint uint64
 
 // Request is the metadata of one request.
@@ -37,7 +37,8 @@
 	Organisation string
 	Tier         Tier
 	Kind         Kind
-	// Pool is the pool of targets able to serve it, from the document.
+	// Pool is the pool of targets that can serve the request, according to the
+	// document.
 	Pool string
 	// Model is the model name; for a service, the service name.
 	Model string
@@ -53,16 +54,16 @@
 	Key         KeyHash
 	Fingerprint Fingerprint
 	Arrived     time.Time
-	// Deadline is when the whole answer must be there.
+	// Deadline is when the complete answer must have been delivered.
 	Deadline time.Time
-	// FirstTokenBy is when the first token must be there; zero: no bound.
+	// FirstTokenBy is when the first token must have been delivered; zero: no bound.
 	FirstTokenBy time.Time
 }
 
 // PrefixBlockTokens is the size of the blocks that prefix hashes cover.
 const PrefixBlockTokens = 128
 
-// Cost is the work that a request brings, in tokens, for fair sharing.
+// Cost returns the work that a request causes, in tokens, for fair sharing.
 func (r *Request) Cost() int {
 	if r.Kind == Service {
 		return ServiceCost
@@ -70,5 +71,5 @@
 	return r.PromptTokens + r.MaxTokens
 }
 
-// ServiceCost is what one plain service call counts for in fair sharing.
+// ServiceCost is the cost of one plain service call for fair sharing.
 const ServiceCost = 100
