--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -36,11 +36,11 @@
 			totals[o.Name] = quota.Total{Admitted: sum, Sent: sum}
 		}
 		for i, p := range peers {
-			heard := at
+			totalsAt := at
 			if i >= fresh {
-				heard = at.Add(-time.Duration(i) * time.Second / time.Duration(entries))
+				totalsAt = at.Add(-time.Duration(i) * time.Second / time.Duration(entries))
 			}
-			limiter.PeerTotals(heard, p.Name, now, totals, false)
+			limiter.PeerTotals(totalsAt, p.Name, now, totals, false)
 		}
 	}
 	return limiter, now.Add(2 * window)
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -40,7 +40,7 @@
 	random  *rand.Rand
 	now     time.Time
 	start   time.Time
-	entries []*member
+	entries []*fleetEntry
 	// reportInterval is the interval between reports to all others; cell is the number
 	// of entries that receive each change from each other at once.
 	reportInterval time.Duration
@@ -55,7 +55,7 @@
 	queueing bool
 }
 
-type member struct {
+type fleetEntry struct {
 	name        string
 	limiter     *quota.Limiter
 	started     time.Time
@@ -69,14 +69,14 @@
 	start := time.Unix(1_000_000, 0)
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: start, start: start, reportInterval: reportInterval, cell: cell, records: map[string]quota.History{}}
 	for i := range n {
-		m := &member{name: fmt.Sprintf("entry-%d", i)}
+		m := &fleetEntry{name: fmt.Sprintf("entry-%d", i)}
 		f.entries = append(f.entries, m)
 		f.restart(m)
 	}
 	return f
 }
 
-func (f *fleet) restart(m *member) {
+func (f *fleet) restart(m *fleetEntry) {
 	m.down = false
 	m.started = f.now
 	m.limiter = newLimiter(f.now)
--- a/internal/core/routing/able.go
+++ b/internal/core/routing/able.go
@@ -21,13 +21,13 @@
 		return true
 	}
 	first := c.prefill + c.view.step
-	return first <= q.firstRemaining && first+decodeTime(q, c) <= q.remaining
+	return first <= q.firstTokenRemaining && first+decodeTime(q, c) <= q.remaining
 }
 
-// infeasible reports, without examining each target, whether the best speeds of the
+// poolTooSlow reports, without examining each target, whether the best speeds of the
 // pool combined would miss the deadline by a wide margin. The margin covers what has
 // changed since the last refresh of the pool.
-func (f *feasibleFilter) infeasible(q *query) bool {
+func (f *feasibleFilter) poolTooSlow(q *query) bool {
 	if !f.early && !q.long || q.pool.maxPrefillRate == 0 {
 		return false
 	}
--- a/internal/core/routing/affinity_test.go
+++ b/internal/core/routing/affinity_test.go
@@ -50,13 +50,13 @@
 		r.Digest(start, digest("t41", 4, 16))
 		Expect(first(r.Choose(start, prefixed(newRequest(12800, 20), 1, 90), nil))).To(Equal("t41"))
 		r.Digest(start, digest("t41", 12, 16))
-		again := 0
+		chosen := 0
 		for range 100 {
 			if first(r.Choose(start, prefixed(newRequest(12800, 20), 1, 90), nil)) == "t41" {
-				again++
+				chosen++
 			}
 		}
-		Expect(again).To(BeNumerically("<", 10), "its share by free slots, among about eight candidates")
+		Expect(chosen).To(BeNumerically("<", 10), "its share by free slots, among about eight candidates")
 	})
 
 	// The engine evicted the prefix and the event was lost. Each run reports that
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -35,7 +35,7 @@
 		return "", status
 	}
 	q.pool.refresh(now)
-	if r.feasible.infeasible(q) {
+	if r.feasible.poolTooSlow(q) {
 		return "", NoneInTime
 	}
 	if t := r.trial(q); t != nil {
@@ -86,7 +86,7 @@
 	q.now, q.req, q.exclude, q.pool, q.zone = now, req, exclude, p, r.zone
 	q.answerTokens = p.answers.Expect(req.MaxTokens)
 	q.remaining = secondsUntil(now, req.Deadline)
-	q.firstRemaining = secondsUntil(now, req.FirstTokenBy)
+	q.firstTokenRemaining = secondsUntil(now, req.FirstTokenBy)
 	q.tierWaitShare = float64(req.Tier+1) / float64(max(r.tiers, int(req.Tier)+1))
 	q.long = r.shortPrompt > 0 && req.PromptTokens > r.shortPrompt
 	q.cached = q.cached[:0]
@@ -184,7 +184,7 @@
 	return Chosen
 }
 
-// consider scores a candidate and reports whether it passes the filters.
+// consider scores a candidate if it passes the filters, and reports whether it does.
 func (r *Router) consider(q *query, c *candidate) bool {
 	if !r.admits(q, c) {
 		return false
--- a/internal/core/routing/finish.go
+++ b/internal/core/routing/finish.go
@@ -32,7 +32,7 @@
 }
 
 // queueTime returns the longer of the wait for a slot and the prefill time of the
-// prompts ahead. These are computed while the request waits for a slot.
+// prompts ahead, which are computed while the request waits for a slot.
 func queueTime(q *query, c *candidate) float64 {
 	v := &c.view
 	ahead := v.pendingPrefill / v.prefillRate
@@ -65,5 +65,5 @@
 
 // inTime reports whether the estimate meets both bounds of the request.
 func (c *candidate) inTime(q *query) bool {
-	return c.first <= q.firstRemaining && c.finish <= q.remaining
+	return c.first <= q.firstTokenRemaining && c.finish <= q.remaining
 }
--- a/internal/core/routing/plugin.go
+++ b/internal/core/routing/plugin.go
@@ -13,9 +13,9 @@
 	exclude func(target string) bool
 	// answerTokens is the expected length of the answer in tokens.
 	answerTokens int
-	// remaining and firstRemaining are the seconds left until the deadlines of the
+	// remaining and firstTokenRemaining are the seconds left until the deadlines of the
 	// complete answer and of the first token; infinite if the request has none.
-	remaining, firstRemaining float64
+	remaining, firstTokenRemaining float64
 	// tierWaitShare scales the wait of the lowest tier to the request's tier.
 	tierWaitShare float64
 	long          bool
