--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -5,7 +5,7 @@
 // so that entries need not exchange messages about it.
 //
 // An entry that has just started uses little of the extra for one window: its previous
-// process may have used its part, and it does not have the number of entries yet. Six
+// process may have used its part, and it has not counted the other entries yet. Six
 // entries that were killed together would have made 318 repeats where 52 are allowed.
 // If it used nothing of the extra, it could not repeat its first requests.
 package budget
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -14,7 +14,7 @@
 //     that much;
 //   - the part of the window before this entry received totals of another, or began to
 //     count itself, counts as in History, with that entry's even share;
-//   - another entry is assumed to continue after its last totals as fast as just before;
+//   - another entry is assumed to continue after its last totals at its rate just before;
 //   - a process that ended without a report is assumed to have admitted as much as the
 //     others in the mean;
 //   - when two entries regain contact, what the other reports of the window is a lower
