--- a/internal/core/floors/floors.go
+++ b/internal/core/floors/floors.go
@@ -1,21 +1,23 @@
-// Package floors is the exchange between the schedulers of a pool before one of
-// them refuses a request for want of capacity.
+// Package floors implements the exchange between the schedulers of a pool
+// before one of them refuses a request for lack of capacity.
 //
-// A floor at tier t means: nothing below t is admitted in the pool. The
-// scheduler that must refuse asks all others; each names a target that can take
-// the request, or promises the floor for a time. When all have promised, the
-// floor stands at the asker, which may then refuse tier t and everything below.
+// A tier floor at tier t means that nothing below t is admitted in the pool. The
+// scheduler that has to refuse a request asks all others. Each either names a
+// target that can accept the request, or promises the floor for a limited time.
+// When all have promised, the floor is in force at the requester, which may then
+// refuse tier t and everything below.
 //
-// Time: the asker counts a promise from when it sent the ask, the giver from
-// when it received it. The giver's end is the later one whatever the transit
-// took, so no clocks need to agree. (Counting from the reply's arrival instead
-// fails when the reply is slow: the giver would serve low work again while the
-// asker still refuses high work.)
+// Time: the requester counts a promise from when it sent its request, the
+// promising scheduler from when it received it. The latter therefore always ends
+// later, whatever the transit time, and no clocks need to agree. If the requester
+// counted from the reply's arrival, a slow reply would make it refuse high work
+// after the other scheduler serves low work again.
 //
-// Silence: a scheduler that did not answer within the silence limit counts as
-// having promised. That holds because a scheduler out of touch with half or
-// more of the members admits only the top tier, by its own clock, after the
-// same limit; the asker waits a margin longer, since clocks run apart.
+// Failure detection: a scheduler that did not reply within the failure-detection
+// timeout counts as having promised. This is safe because a scheduler without
+// contact to more than half of the members admits only the top tier after the
+// same timeout, by its own clock. The requester waits a margin longer, since
+// clocks run at different rates.
 package floors
 
 import (
@@ -27,27 +29,29 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Lowest is a tier that nothing is below of: no floor.
-const Lowest = request.Tier(255)
+// NoFloor is below every tier, and means that no floor is in force.
+const NoFloor = request.Tier(255)
 
 const (
-	// marginPart of the silence limit is added to it by the asker, for clocks
-	// that run at different rates and for a late tick.
-	marginPart = 10
-	// maxHold bounds a promise, whatever the asker wants.
-	maxHold = 10 * time.Second
-	// fallPart of a floor's time is spent on each step of its fall.
-	fallPart = 2
+	// marginDivisor gives the part of the failure-detection timeout that
+	// the requester adds to it, for clocks that run at different rates and for a
+	// late tick.
+	marginDivisor = 10
+	// maxPromise bounds the time of a promise, whatever is requested.
+	maxPromise = 10 * time.Second
+	// recoveryDivisor gives the part of a floor's time that each step of the
+	// recovery takes.
+	recoveryDivisor = 2
 )
 
 // Floors holds the promises given and obtained by one scheduler.
 type Floors struct {
-	seq     uint64
-	hold    time.Duration
-	silence time.Duration
-	tiers   int
-	pools   map[string]*pool
-	names   []string
+	seq      uint64
+	duration time.Duration
+	timeout  time.Duration
+	tiers    int
+	pools    map[string]*pool
+	names    []string
 }
 
 // New returns Floors without pools.
@@ -55,200 +59,204 @@
 	return &Floors{pools: make(map[string]*pool)}
 }
 
-// Configure sets how long a floor stands, the silence limit, and the number of
-// tiers.
-func (f *Floors) Configure(hold, silence time.Duration, tiers int) {
-	f.hold = min(hold, maxHold)
-	f.silence = silence
+// Configure sets how long a floor is in force, the failure-detection timeout and
+// the number of tiers.
+func (f *Floors) Configure(duration, failureTimeout time.Duration, tiers int) {
+	f.duration = min(duration, maxPromise)
+	f.timeout = failureTimeout
 	f.tiers = tiers
 }
 
-// Patience is how long an asker waits for an answer.
-func (f *Floors) Patience() time.Duration { return f.silence + f.silence/marginPart }
+// ReplyTimeout returns how long a requester waits for replies.
+func (f *Floors) ReplyTimeout() time.Duration { return f.timeout + f.timeout/marginDivisor }
 
-// SetPool says who else schedules targets of a pool. A member that is gone from
-// the list is still asked for the silence limit, since it may not know yet that
-// another took its targets and may serve low work meanwhile; Gone ends that.
+// SetPool sets the other schedulers of a pool. A member that is no longer listed
+// is still asked for the failure-detection timeout, since it may not know yet
+// that its targets have another scheduler, and may serve low work meanwhile.
+// PeerTerminated ends that.
 func (f *Floors) SetPool(now time.Time, name string, others []ident.Incarnation) {
-	f.pool(name).setOthers(others, now.Add(f.silence))
+	f.pool(name).setOthers(others, now.Add(f.timeout))
 }
 
-// Gone says that a process has ended and serves nothing any more. It returns
-// the exchanges that this completes.
-func (f *Floors) Gone(now time.Time, who ident.Incarnation) []Verdict {
-	var verdicts []Verdict
+// PeerTerminated records that a process has ended and serves nothing any more.
+// It returns the results of the exchanges that this ends.
+func (f *Floors) PeerTerminated(now time.Time, who ident.Incarnation) []Result {
+	var results []Result
 	for _, name := range f.names {
 		p := f.pools[name]
-		p.forget(who)
+		p.removeMember(who)
 		for _, e := range slices.Clone(p.exchanges) {
-			if e.answered(who) {
-				verdicts = f.conclude(now, p, e, verdicts)
+			if e.markReplied(who) {
+				results = f.conclude(now, p, e, results)
 			}
 		}
 	}
-	return verdicts
+	return results
 }
 
-// Verdict is what an exchange has come to.
-type Verdict struct {
+// Result is a result of an exchange.
+type Result struct {
 	Pool string
 	Tier request.Tier
-	// Room is a target that can take the request; the exchange may go on. Cost is
-	// what the run has cost that must be cancelled there, 0 if none must.
-	Room string
-	Cost int
-	// Over: all have answered or were silent. Stands: all promised.
-	Over   bool
-	Stands bool
-	// Cutting: some who promised are cancelling lower runs.
-	Cutting bool
-	// Dear: some spared lower runs that have cost far more than the request.
-	Dear bool
+	// Target can accept the request; the exchange may continue. Cost is the tokens
+	// computed by the run that has to be cancelled there, or 0 if none has to be.
+	Target string
+	Cost   int
+	// Ended reports that all schedulers have replied or timed out, InForce that
+	// all of them promised the floor.
+	Ended   bool
+	InForce bool
+	// Preempting reports that some schedulers are cancelling lower runs.
+	Preempting bool
+	// Spared reports that some schedulers spared lower runs that have cost far
+	// more than the request.
+	Spared bool
 }
 
-// Candidate is a target that could take a request if a run there were cancelled,
-// and what that run has cost, in tokens and at least 1.
+// Candidate is a target that could accept a request if a run there were
+// cancelled, and the cost of that run, in tokens and at least 1.
 type Candidate struct {
-	Room string
-	Cost int
+	Target string
+	Cost   int
 }
 
-// Begin is BeginWith for an asker that has no candidate of its own.
-func (f *Floors) Begin(now time.Time, name string, t request.Tier, need message.Offer) (message.FloorAsk, []ident.Incarnation, []Verdict) {
+// Begin is BeginWith for a requester that has no candidate of its own.
+func (f *Floors) Begin(now time.Time, name string, t request.Tier, need message.Offer) (message.FloorAsk, []ident.Incarnation, []Result) {
 	return f.BeginWith(now, name, t, need, Candidate{})
 }
 
-// BeginWith starts an exchange, unless one runs for the same pool and tier. It
-// returns the ask and whom to send it to; with nobody to ask, the verdict is
-// there at once. own is what the asker could do itself.
-func (f *Floors) BeginWith(now time.Time, name string, t request.Tier, need message.Offer, own Candidate) (message.FloorAsk, []ident.Incarnation, []Verdict) {
+// BeginWith starts an exchange, unless one is running for the same pool and tier.
+// It returns the request and its addressees. If there are none, it returns the
+// results at once. own is the requester's own candidate.
+func (f *Floors) BeginWith(now time.Time, name string, t request.Tier, need message.Offer, own Candidate) (message.FloorAsk, []ident.Incarnation, []Result) {
 	p := f.pool(name)
 	if p.exchange(t) != nil {
 		return message.FloorAsk{}, nil, nil
 	}
-	p.dropFormer(now)
+	p.dropExpiredDeparted(now)
 	f.seq++
-	e := &exchange{tier: t, seq: f.seq, sent: now, valid: f.hold, waiting: p.members()}
+	e := &exchange{tier: t, seq: f.seq, sent: now, valid: f.duration, pending: p.members()}
 	e.consider(own)
 	p.addExchange(e)
-	ask := message.FloorAsk{Seq: e.seq, Pool: name, Tier: t, For: f.hold, Need: need}
-	if len(e.waiting) == 0 {
+	ask := message.FloorAsk{Seq: e.seq, Pool: name, Tier: t, For: f.duration, Need: need}
+	if len(e.pending) == 0 {
 		return ask, nil, f.conclude(now, p, e, nil)
 	}
-	return ask, slices.Clone(e.waiting), nil
+	return ask, slices.Clone(e.pending), nil
 }
 
-// Reply takes an answer. An answer to a former exchange changes nothing.
-func (f *Floors) Reply(now time.Time, from ident.Incarnation, r message.FloorReply) []Verdict {
+// Reply handles a reply. A reply to a previous exchange is ignored.
+func (f *Floors) Reply(now time.Time, from ident.Incarnation, r message.FloorReply) []Result {
 	p := f.pools[r.Pool]
 	if p == nil {
 		return nil
 	}
 	e := p.exchange(r.Tier)
-	if e == nil || e.seq != r.Seq || !e.answered(from) {
+	if e == nil || e.seq != r.Seq || !e.markReplied(from) {
 		return nil
 	}
-	var verdicts []Verdict
+	var results []Result
 	if r.Room != "" && r.Cost > 0 {
-		e.consider(Candidate{Room: r.Room, Cost: r.Cost})
+		e.consider(Candidate{Target: r.Room, Cost: r.Cost})
 	} else if r.Room != "" {
-		e.room, e.free = true, true
-		verdicts = append(verdicts, Verdict{Pool: r.Pool, Tier: r.Tier, Room: r.Room})
+		e.hasCapacity, e.free = true, true
+		results = append(results, Result{Pool: r.Pool, Tier: r.Tier, Target: r.Room})
 	} else {
 		e.valid = min(e.valid, r.Valid)
 		e.lower = e.lower || r.Lower
-		e.cutting = e.cutting || r.Cutting
-		e.dear = e.dear || r.Dear
+		e.preempting = e.preempting || r.Cutting
+		e.spared = e.spared || r.Dear
 	}
-	return f.conclude(now, p, e, verdicts)
+	return f.conclude(now, p, e, results)
 }
 
-// Tick ends the exchanges whose silent members have had their time.
-func (f *Floors) Tick(now time.Time) []Verdict {
-	var verdicts []Verdict
+// Tick ends the exchanges whose reply timeout has passed.
+func (f *Floors) Tick(now time.Time) []Result {
+	var results []Result
 	for _, name := range f.names {
 		p := f.pools[name]
 		for _, e := range slices.Clone(p.exchanges) {
-			if now.Sub(e.sent) <= f.Patience() {
+			if now.Sub(e.sent) <= f.ReplyTimeout() {
 				continue
 			}
-			e.waiting = nil
-			verdicts = f.conclude(now, p, e, verdicts)
+			e.pending = nil
+			results = f.conclude(now, p, e, results)
 		}
 	}
-	return verdicts
+	return results
 }
 
-func (f *Floors) conclude(now time.Time, p *pool, e *exchange, verdicts []Verdict) []Verdict {
-	if len(e.waiting) > 0 {
-		return verdicts
+func (f *Floors) conclude(now time.Time, p *pool, e *exchange, results []Result) []Result {
+	if len(e.pending) > 0 {
+		return results
 	}
 	p.endExchange(e)
-	if e.least.Room != "" && !e.free {
-		verdicts = append(verdicts, Verdict{Pool: p.name, Tier: e.tier, Room: e.least.Room, Cost: e.least.Cost})
+	if e.cheapest.Target != "" && !e.free {
+		results = append(results, Result{Pool: p.name, Tier: e.tier, Target: e.cheapest.Target, Cost: e.cheapest.Cost})
 	}
 	until := e.sent.Add(e.valid)
-	stands := !e.room && p.stillAsked(e)
+	stands := !e.hasCapacity && p.askedAll(e)
 	if stands {
-		p.stand(standing{tier: e.tier, until: until, lower: e.lower})
+		p.addObtained(obtainedFloor{tier: e.tier, until: until, lower: e.lower})
 		p.promise(e.tier, until)
 	}
-	return append(verdicts, Verdict{Pool: p.name, Tier: e.tier, Over: true, Stands: stands, Cutting: e.cutting, Dear: e.dear})
+	return append(results, Result{Pool: p.name, Tier: e.tier, Ended: true, InForce: stands, Preempting: e.preempting, Spared: e.spared})
 }
 
-// Promise records a floor that this scheduler has promised to another, and
-// returns for how long it will hold from now.
-func (f *Floors) Promise(now time.Time, name string, t request.Tier, hold time.Duration) time.Duration {
-	hold = min(hold, maxHold)
-	f.pool(name).promise(t, now.Add(hold))
-	return hold
+// Promise records a floor that this scheduler promises to another, and returns
+// how long the promise is valid from now.
+func (f *Floors) Promise(now time.Time, name string, t request.Tier, duration time.Duration) time.Duration {
+	duration = min(duration, maxPromise)
+	f.pool(name).promise(t, now.Add(duration))
+	return duration
 }
 
-// Admission says what a pool's targets may admit here now.
+// Admission is the set of limits on what a pool's targets may admit here now.
 type Admission struct {
-	// Floor: nothing below it is admitted; what waits below it is refused.
+	// Floor is the lowest tier admitted. Offers that wait below it are refused.
 	Floor request.Tier
-	// Pause: nothing below it is granted while an exchange runs.
-	Pause request.Tier
-	// Calm: what is below it gets free places only, and does not wait. It
-	// falls by a tier at a time after a floor ended, so that the lower tiers
-	// do not all come back at once and have to be displaced again.
-	Calm request.Tier
+	// GrantFloor is the lowest tier granted while an exchange runs.
+	GrantFloor request.Tier
+	// QueueFloor is the lowest tier that may wait. Requests below it are admitted
+	// into free slots only. After a floor has ended, QueueFloor moves down by one
+	// tier at a time, so that the lower tiers do not all return at once and have
+	// to be displaced again.
+	QueueFloor request.Tier
 }
 
-// Admission reports the floors in force here for a pool.
+// Admission returns the limits in force here for a pool.
 func (f *Floors) Admission(now time.Time, name string) Admission {
 	p := f.pools[name]
 	if p == nil {
-		return Admission{Floor: Lowest, Pause: Lowest, Calm: Lowest}
+		return Admission{Floor: NoFloor, GrantFloor: NoFloor, QueueFloor: NoFloor}
 	}
-	return p.admission(now, f.hold/fallPart, f.tiers)
+	return p.admission(now, f.duration/recoveryDivisor, f.tiers)
 }
 
-// Standing reports whether this scheduler may refuse tier t in the pool: a
-// floor at t or above stands, and no lower work was left running under it.
-func (f *Floors) Standing(now time.Time, name string, t request.Tier) bool {
+// MayRefuse reports whether this scheduler may refuse tier t in the pool: a
+// floor at t or above is in force, and no lower work was left running under it.
+func (f *Floors) MayRefuse(now time.Time, name string, t request.Tier) bool {
 	p := f.pools[name]
 	if p == nil {
 		return false
 	}
-	s, ok := p.standingFor(now, t)
+	s, ok := p.obtainedFor(now, t)
 	return ok && !s.lower
 }
 
-// Covered reports whether a floor for tier t stands, even where lower work
+// InForce reports whether a floor for tier t is in force, even if lower work
 // that cannot be cancelled is still running under it, and until when.
-func (f *Floors) Covered(now time.Time, name string, t request.Tier) (until time.Time, ok bool) {
+func (f *Floors) InForce(now time.Time, name string, t request.Tier) (until time.Time, ok bool) {
 	p := f.pools[name]
 	if p == nil {
 		return time.Time{}, false
 	}
-	s, ok := p.standingFor(now, t)
+	s, ok := p.obtainedFor(now, t)
 	return s.until, ok
 }
 
-// Running reports whether an exchange for the pool and tier runs.
-func (f *Floors) Running(name string, t request.Tier) bool {
+// ExchangeRunning reports whether an exchange for the pool and tier is running.
+func (f *Floors) ExchangeRunning(name string, t request.Tier) bool {
 	p := f.pools[name]
 	return p != nil && p.exchange(t) != nil
 }
@@ -264,9 +272,9 @@
 	return p
 }
 
-// LeaveLower notes that lower work which cannot be cancelled runs at the
-// asker's own targets, so that the floor does not allow a refusal yet.
-func (f *Floors) LeaveLower(name string, t request.Tier) {
+// MarkLowerWork records that lower work which cannot be cancelled runs at the
+// requester's own targets, so that the floor does not allow a refusal yet.
+func (f *Floors) MarkLowerWork(name string, t request.Tier) {
 	p := f.pool(name)
 	for i := range p.obtained {
 		if p.obtained[i].tier == t {
--- a/internal/core/floors/pool.go
+++ b/internal/core/floors/pool.go
@@ -10,18 +10,19 @@
 
 // pool is the state of one pool's floors.
 type pool struct {
-	name   string
-	others []ident.Incarnation
-	former []former
-	// promised are floors given to others and to this scheduler's own
-	// exchanges, by tier; obtained are floors that stand for refusing.
+	name     string
+	others   []ident.Incarnation
+	previous []departed
+	// promised are the floors promised to others and to this scheduler's own
+	// exchanges, sorted by tier. obtained are the floors under which this scheduler
+	// may refuse.
 	promised  []promise
-	obtained  []standing
+	obtained  []obtainedFloor
 	exchanges []*exchange
-	fall      promise
+	recovery  promise
 }
 
-type former struct {
+type departed struct {
 	who   ident.Incarnation
 	until time.Time
 }
@@ -31,56 +32,57 @@
 	until time.Time
 }
 
-type standing struct {
+type obtainedFloor struct {
 	tier  request.Tier
 	until time.Time
 	lower bool
 }
 
-// exchange is one round of asks. waiting are those who have not answered.
+// exchange is one round of requests to the other schedulers. pending are those
+// that have not replied.
 type exchange struct {
-	tier    request.Tier
-	seq     uint64
-	sent    time.Time
-	valid   time.Duration
-	waiting []ident.Incarnation
-	room    bool
-	lower   bool
-	cutting bool
-	dear    bool
-	// least is the room that costs least of those that cost something; it is
-	// taken at the end, if there was none for nothing.
-	least Candidate
-	free  bool
-	// stale: a scheduler joined the pool after the asks were sent.
+	tier        request.Tier
+	seq         uint64
+	sent        time.Time
+	valid       time.Duration
+	pending     []ident.Incarnation
+	hasCapacity bool
+	lower       bool
+	preempting  bool
+	spared      bool
+	// cheapest is the candidate of least cost. It is used at the end of the
+	// exchange if no target could accept the request without preemption (free).
+	cheapest Candidate
+	free     bool
+	// stale reports that a scheduler joined the pool after the requests were sent.
 	stale bool
 }
 
 func (e *exchange) consider(c Candidate) {
-	if c.Room != "" && (e.least.Room == "" || c.Cost < e.least.Cost) {
-		e.least = c
-		e.room = true
+	if c.Target != "" && (e.cheapest.Target == "" || c.Cost < e.cheapest.Cost) {
+		e.cheapest = c
+		e.hasCapacity = true
 	}
 }
 
-func (e *exchange) answered(who ident.Incarnation) bool {
-	at, found := slices.BinarySearch(e.waiting, who)
+func (e *exchange) markReplied(who ident.Incarnation) bool {
+	at, found := slices.BinarySearch(e.pending, who)
 	if found {
-		e.waiting = slices.Delete(e.waiting, at, at+1)
+		e.pending = slices.Delete(e.pending, at, at+1)
 	}
 	return found
 }
 
 // setOthers replaces the members. A new member has promised nothing, so the
-// floors obtained without it no longer allow a refusal; kept, they would let a
-// high request be refused while the newcomer serves low work.
+// floors obtained without it no longer allow a refusal: under them a high
+// request could be refused while the new member serves low work.
 func (p *pool) setOthers(others []ident.Incarnation, keepUntil time.Time) {
 	next := slices.Clone(others)
 	slices.Sort(next)
 	next = slices.Compact(next)
 	for _, who := range p.others {
 		if !slices.Contains(next, who) {
-			p.former = append(p.former, former{who: who, until: keepUntil})
+			p.previous = append(p.previous, departed{who: who, until: keepUntil})
 		}
 	}
 	joined := false
@@ -89,7 +91,7 @@
 			joined = true
 		}
 	}
-	p.former = slices.DeleteFunc(p.former, func(x former) bool { return slices.Contains(next, x.who) })
+	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return slices.Contains(next, x.who) })
 	p.others = next
 	if !joined {
 		return
@@ -100,18 +102,18 @@
 	}
 }
 
-func (p *pool) forget(who ident.Incarnation) {
+func (p *pool) removeMember(who ident.Incarnation) {
 	p.others = slices.DeleteFunc(p.others, func(x ident.Incarnation) bool { return x == who })
-	p.former = slices.DeleteFunc(p.former, func(x former) bool { return x.who == who })
+	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return x.who == who })
 }
 
-func (p *pool) dropFormer(now time.Time) {
-	p.former = slices.DeleteFunc(p.former, func(x former) bool { return now.After(x.until) })
+func (p *pool) dropExpiredDeparted(now time.Time) {
+	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return now.After(x.until) })
 }
 
 func (p *pool) members() []ident.Incarnation {
 	all := slices.Clone(p.others)
-	for _, x := range p.former {
+	for _, x := range p.previous {
 		all = append(all, x.who)
 	}
 	slices.Sort(all)
@@ -136,7 +138,7 @@
 	p.exchanges = slices.DeleteFunc(p.exchanges, func(x *exchange) bool { return x == e })
 }
 
-func (p *pool) stillAsked(e *exchange) bool { return !e.stale }
+func (p *pool) askedAll(e *exchange) bool { return !e.stale }
 
 func (p *pool) promise(t request.Tier, until time.Time) {
 	for i := range p.promised {
@@ -151,15 +153,15 @@
 	slices.SortFunc(p.promised, func(a, b promise) int { return int(a.tier) - int(b.tier) })
 }
 
-func (p *pool) stand(s standing) {
-	p.obtained = slices.DeleteFunc(p.obtained, func(x standing) bool { return x.tier == s.tier })
+func (p *pool) addObtained(s obtainedFloor) {
+	p.obtained = slices.DeleteFunc(p.obtained, func(x obtainedFloor) bool { return x.tier == s.tier })
 	p.obtained = append(p.obtained, s)
 }
 
-// standingFor finds a floor at t or above that stands, one without lower work
-// left under it by preference, then the longest.
-func (p *pool) standingFor(now time.Time, t request.Tier) (standing, bool) {
-	var best standing
+// obtainedFor returns a floor at t or above that is in force: preferably one
+// without lower work left under it, then the one that ends last.
+func (p *pool) obtainedFor(now time.Time, t request.Tier) (obtainedFloor, bool) {
+	var best obtainedFloor
 	found := false
 	for _, s := range p.obtained {
 		if t.Above(s.tier) || !now.Before(s.until) {
@@ -176,40 +178,41 @@
 
 func (p *pool) admission(now time.Time, step time.Duration, tiers int) Admission {
 	p.expire(now, step)
-	a := Admission{Floor: Lowest, Pause: Lowest, Calm: Lowest}
+	a := Admission{Floor: NoFloor, GrantFloor: NoFloor, QueueFloor: NoFloor}
 	if len(p.promised) > 0 {
 		a.Floor = p.promised[0].tier
 	}
 	if len(p.exchanges) > 0 {
-		a.Pause = p.exchanges[0].tier
+		a.GrantFloor = p.exchanges[0].tier
 	}
-	if !p.fall.until.IsZero() {
-		a.Calm = p.fallen(now, step, tiers)
+	if !p.recovery.until.IsZero() {
+		a.QueueFloor = p.recoveryTier(now, step, tiers)
 	}
 	return a
 }
 
-// expire drops promises that have ended; the strictest of them begins to fall.
+// expire deletes promises that have ended. The recovery starts from the
+// strictest of them.
 func (p *pool) expire(now time.Time, step time.Duration) {
 	for len(p.promised) > 0 && !now.Before(p.promised[0].until) {
 		ended := p.promised[0]
 		p.promised = p.promised[1:]
-		if p.fall.until.IsZero() || !p.fall.tier.Above(ended.tier) {
-			p.fall = promise{tier: ended.tier + 1, until: ended.until.Add(step)}
+		if p.recovery.until.IsZero() || !p.recovery.tier.Above(ended.tier) {
+			p.recovery = promise{tier: ended.tier + 1, until: ended.until.Add(step)}
 		}
 	}
 	p.promised = slices.DeleteFunc(p.promised, func(x promise) bool { return !now.Before(x.until) })
 }
 
-// fallen lets the fall go on and returns where it stands.
-func (p *pool) fallen(now time.Time, step time.Duration, tiers int) request.Tier {
-	for !now.Before(p.fall.until) && int(p.fall.tier) < tiers-1 && step > 0 {
-		p.fall.tier++
-		p.fall.until = p.fall.until.Add(step)
+// recoveryTier advances the recovery and returns the lowest tier that may wait.
+func (p *pool) recoveryTier(now time.Time, step time.Duration, tiers int) request.Tier {
+	for !now.Before(p.recovery.until) && int(p.recovery.tier) < tiers-1 && step > 0 {
+		p.recovery.tier++
+		p.recovery.until = p.recovery.until.Add(step)
 	}
-	if int(p.fall.tier) >= tiers-1 || step <= 0 {
-		p.fall = promise{}
-		return Lowest
+	if int(p.recovery.tier) >= tiers-1 || step <= 0 {
+		p.recovery = promise{}
+		return NoFloor
 	}
-	return p.fall.tier
+	return p.recovery.tier
 }
--- a/internal/core/scheduler/holding.go
+++ b/internal/core/scheduler/holding.go
@@ -145,7 +145,7 @@
 
 // ask begins an exchange for a holding, unless one runs or it is too soon.
 func (s *Scheduler) ask(h *holding) {
-	if len(h.offers) == 0 || h.asking || s.tooSoon(h) || s.floors.Running(h.key.pool, h.key.tier) {
+	if len(h.offers) == 0 || h.asking || s.tooSoon(h) || s.floors.ExchangeRunning(h.key.pool, h.key.tier) {
 		return
 	}
 	// Failure: an exchange that ends within the ask and does not settle the offer
@@ -173,7 +173,7 @@
 	if s.now.Before(h.rest) {
 		return true
 	}
-	_, covered := s.floors.Covered(s.now, h.key.pool, h.key.tier)
+	_, covered := s.floors.InForce(s.now, h.key.pool, h.key.tier)
 	return covered && s.now.Before(h.again)
 }
 
@@ -186,7 +186,7 @@
 			s.ask(h)
 			continue
 		}
-		if s.tooSoon(h) || s.floors.Running(key.pool, key.tier) {
+		if s.tooSoon(h) || s.floors.ExchangeRunning(key.pool, key.tier) {
 			continue
 		}
 		delete(s.holdings, key)
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -207,7 +207,7 @@
 	if a.Floor.Above(o.Tier) {
 		return false
 	}
-	if !a.Calm.Above(o.Tier) {
+	if !a.QueueFloor.Above(o.Tier) {
 		return true
 	}
 	return o.target.queue.Len() == 0 && len(o.target.runs) < o.target.limit()
@@ -243,7 +243,7 @@
 // askAt leaves time for an exchange with a silent member before giving up.
 func (o *offer) askAt(s *Scheduler) time.Time {
 	end := o.giveUp(s)
-	return end.Add(-min(s.floors.Patience(), end.Sub(o.arrived)/2))
+	return end.Add(-min(s.floors.ReplyTimeout(), end.Sub(o.arrived)/2))
 }
 
 // preemptAt leaves time for a run to be cancelled before giving up.
@@ -307,8 +307,8 @@
 
 // expire refuses an offer whose time has run out.
 func (s *Scheduler) expire(o *offer) {
-	_, covered := s.floors.Covered(s.now, o.target.desc.Pool, o.Tier)
-	standing := s.floors.Standing(s.now, o.target.desc.Pool, o.Tier)
+	_, covered := s.floors.InForce(s.now, o.target.desc.Pool, o.Tier)
+	standing := s.floors.MayRefuse(s.now, o.target.desc.Pool, o.Tier)
 	if s.quorum && !standing && s.set.Preempt && !o.doomed {
 		// No trip of its owner helps any more.
 		o.lastWord = true
--- a/internal/core/scheduler/promises_test.go
+++ b/internal/core/scheduler/promises_test.go
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	until, standing := w.schedulers[from].floors.Covered(w.now, pool, c.offer.Tier)
+	until, standing := w.schedulers[from].floors.InForce(w.now, pool, c.offer.Tier)
 	if !standing {
 		w.t.Fatalf("%s refused for good without a floor", m.ID)
 	}
--- a/internal/core/scheduler/room.go
+++ b/internal/core/scheduler/room.go
@@ -9,7 +9,7 @@
 
 type (
 	identity = ident.Incarnation
-	verdict  = floors.Verdict
+	verdict  = floors.Result
 )
 
 // roomKind says how a target could take a request, the best last.
@@ -56,11 +56,11 @@
 func (s *Scheduler) ownCandidate(o *offer) floors.Candidate {
 	var own floors.Candidate
 	if best, cost := s.room(o.target.desc.Pool, o.current(s.now), o.target, roomByPreemption); best != nil {
-		own = floors.Candidate{Room: best.desc.Name, Cost: cost}
+		own = floors.Candidate{Target: best.desc.Name, Cost: cost}
 	}
 	if r := s.victimFor(o); r != nil && s.mayPreemptHere(o) {
-		if cost := 1 + o.target.computed(r); own.Room == "" || cost <= own.Cost {
-			own = floors.Candidate{Room: o.target.desc.Name, Cost: cost}
+		if cost := 1 + o.target.computed(r); own.Target == "" || cost <= own.Cost {
+			own = floors.Candidate{Target: o.target.desc.Name, Cost: cost}
 		}
 	}
 	return own
--- a/internal/core/scheduler/run.go
+++ b/internal/core/scheduler/run.go
@@ -77,7 +77,7 @@
 		return topTier
 	}
 	a := s.floors.Admission(s.now, t.desc.Pool)
-	return min(a.Floor, a.Pause, t.lowest())
+	return min(a.Floor, a.GrantFloor, t.lowest())
 }
 
 // admitHeld moves offers that were held for an exchange into the queue, when
@@ -283,7 +283,7 @@
 		}
 		delete(t.awaited, from)
 	}
-	s.verdicts(s.floors.Gone(s.now, from))
+	s.verdicts(s.floors.PeerTerminated(s.now, from))
 	for _, name := range sortedNames(s.targets) {
 		s.fill(s.targets[name])
 	}
--- a/internal/core/scheduler/shed.go
+++ b/internal/core/scheduler/shed.go
@@ -49,7 +49,7 @@
 		// Also under a floor: it says that nothing lower is served, not that no
 		// target has room for this one.
 		s.refuse(o, refusal{reason: reason})
-	case s.floors.Standing(s.now, o.target.desc.Pool, o.Tier):
+	case s.floors.MayRefuse(s.now, o.target.desc.Pool, o.Tier):
 		s.refuse(o, refusal{reason: reason, settled: true})
 	default:
 		s.hold(o)
@@ -90,10 +90,10 @@
 		if h == nil {
 			continue
 		}
-		if v.Room != "" {
+		if v.Target != "" {
 			s.sendElsewhere(h, v)
 		}
-		if v.Over {
+		if v.Ended {
 			s.exchangeOver(h, v)
 		}
 	}
@@ -105,32 +105,32 @@
 	case o == nil:
 	case !s.worth(o, v.Cost):
 		h.rest = earliest(o.costlyAt(s), s.now.Add(s.set.tripTime()))
-	case o.target.desc.Name == v.Room:
+	case o.target.desc.Name == v.Target:
 		s.preemptHere(o)
 	default:
-		s.refuse(o, refusal{reason: o.reason, elsewhere: v.Room})
+		s.refuse(o, refusal{reason: o.reason, elsewhere: v.Target})
 	}
 }
 
 // exchangeOver refuses what was held if the floor stands and nothing lower is
 // left; else the offers go on waiting, or ask again.
 func (s *Scheduler) exchangeOver(h *holding, v verdict) {
-	if !v.Stands {
+	if !v.InForce {
 		s.ask(h)
 		s.fillPool(h.key.pool)
 		return
 	}
-	cutting, dear := v.Cutting, v.Dear
+	cutting, dear := v.Preempting, v.Spared
 	if h.cut && h.need != nil {
 		own, spares := s.yield(h.key.pool, h.key.tier, spared(h.late, h.need.msg))
 		cutting, dear = cutting || own, dear || spares
 	}
 	if s.lowerLeft(h.key.pool, h.key.tier) {
-		s.floors.LeaveLower(h.key.pool, h.key.tier)
+		s.floors.MarkLowerWork(h.key.pool, h.key.tier)
 	}
 	s.flush(h.key.pool)
-	settled := s.floors.Standing(s.now, h.key.pool, h.key.tier)
-	until, _ := s.floors.Covered(s.now, h.key.pool, h.key.tier)
+	settled := s.floors.MayRefuse(s.now, h.key.pool, h.key.tier)
+	until, _ := s.floors.InForce(s.now, h.key.pool, h.key.tier)
 	h.again = s.now.Add(until.Sub(s.now) / 4 * 3) // renewed before its end
 	if !settled {
 		h.again = s.now.Add(s.set.tripTime())
--- a/internal/core/scheduler/view.go
+++ b/internal/core/scheduler/view.go
@@ -64,7 +64,7 @@
 	Queued  []int
 	Held    int
 	Prefill int
-	// Floor is the lowest tier admitted; floors.Lowest: no floor.
+	// Floor is the lowest tier admitted; floors.NoFloor: no floor.
 	Floor request.Tier
 	Wait  time.Duration
 }
