--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -1,15 +1,15 @@
 // Package queue orders the offers that wait for one target: by tier, within a
-// tier fair over organisations by weighted virtual time, within an organisation
-// by slack (the latest start that still meets the deadline).
+// tier by weighted fair sharing among organisations in virtual time, and within
+// an organisation by slack (the latest start that still meets the deadline).
 //
 // Invariants:
 //   - An item of a lower tier never leaves before one of a higher tier, except
-//     that suspects held back by another suspect are passed (see Head).
+//     that items may pass suspects held back by another suspect (see Head).
 //   - An organisation is charged for an item when it is taken, never when it is
 //     removed, so that withdrawn and displaced work costs nothing.
-//   - An organisation that comes back after idling starts at the tier's virtual
-//     time: idling earns no credit, and what it was charged is not forgotten
-//     while the tier stays busy.
+//   - An organisation that returns after an idle period starts at the tier's
+//     virtual time: idle time earns no credit, and previous charges remain in
+//     effect while the tier is busy.
 package queue
 
 import (
@@ -26,7 +26,7 @@
 const (
 	Short Lane = iota
 	Long
-	// Suspect items wait for another suspect to end, not for a place.
+	// Suspect items wait for another suspect to end, not for a slot.
 	Suspect
 	laneCount
 )
@@ -37,18 +37,18 @@
 	Tier         request.Tier
 	Organisation string
 	Lane         Lane
-	// Cost is the work it brings, in tokens.
+	// Cost is the item's work, in tokens.
 	Cost int
-	// Prompt is its prompt's size, in tokens.
+	// Prompt is the size of its prompt, in tokens.
 	Prompt int
 	// Due is the latest start that meets its deadlines.
 	Due time.Time
 
-	seq     uint64
-	org     *organisation
-	first   int
-	last    int
-	waiting bool
+	seq        uint64
+	org        *organisation
+	firstIndex int
+	lastIndex  int
+	waiting    bool
 }
 
 // Waiting reports whether the item is in a queue.
@@ -64,19 +64,19 @@
 	seq    uint64
 }
 
-// New returns an empty queue. weight gives an organisation's share within its
-// tier; nil or a weight that is not positive counts as 1.
+// New returns an empty queue. weight returns an organisation's weight within its
+// tier; a nil function or a weight that is not positive counts as 1.
 func New(weight func(organisation string) float64) *Queue {
 	return &Queue{weight: weight}
 }
 
-// Len is the number of waiting items.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.count }
 
-// Prompt is the prompt tokens of all waiting items.
-func (q *Queue) Prompt() int { return q.prompt }
+// PromptTokens returns the prompt tokens of all waiting items.
+func (q *Queue) PromptTokens() int { return q.prompt }
 
-// TierLen is the number of waiting items of one tier.
+// TierLen returns the number of waiting items of one tier.
 func (q *Queue) TierLen(t request.Tier) int {
 	if int(t) >= len(q.tiers) {
 		return 0
@@ -84,7 +84,8 @@
 	return q.tiers[t].count
 }
 
-// Tiers is the number of tiers that the queue has seen.
+// Tiers returns the number of tiers that the queue has held items of, counted
+// from the top.
 func (q *Queue) Tiers() int { return len(q.tiers) }
 
 // Push adds an item.
@@ -100,14 +101,15 @@
 	q.tiers[it.Tier].push(it, q.weightOf(it.Organisation))
 }
 
-// Head returns the item that comes next, or nil. may says whether an item may
-// start now; it is asked for the first item of each lane.
+// Head returns the next item to start, or nil. may reports whether an item may
+// start now; it is called for the first item of each lane.
 //
 // An item of the highest waiting tier that may not start holds back all lower
-// tiers: were they let past, a stream of short low work could keep a long high
-// request from ever finding enough room. Suspects are the exception: a suspect
-// waits for the place of the suspect that runs, so others take nothing from it,
-// and a caller who repeats a crashing request could otherwise stop the target.
+// tiers. If they could pass, a stream of short low-tier work could keep a long
+// high-tier request from ever finding enough capacity. Suspects are the
+// exception: a suspect waits only for the running suspect to end, so other items
+// take nothing from it. If suspects held others back, a caller that repeats a
+// crashing request could block the target.
 func (q *Queue) Head(may func(*Item) bool) *Item {
 	for _, t := range q.tiers {
 		if t.count == 0 {
@@ -127,7 +129,8 @@
 	q.Remove(it)
 }
 
-// Remove removes an item that is not served; nothing if it is not waiting.
+// Remove removes an item without charging its organisation. It does nothing if
+// the item is not waiting.
 func (q *Queue) Remove(it *Item) {
 	if !it.waiting {
 		return
@@ -141,17 +144,17 @@
 
 // Last returns the item of the lowest waiting tier that would be served last:
 // the one with the most slack, of the organisation whose backlog ends latest.
-// It is what a newcomer of a higher tier displaces.
+// It is the item that a new one of a higher tier displaces.
 func (q *Queue) Last() *Item {
 	for i := len(q.tiers) - 1; i >= 0; i-- {
 		if q.tiers[i].count > 0 {
-			return q.tiers[i].tails.Top().latest.Top()
+			return q.tiers[i].backlogEnds.Top().latest.Top()
 		}
 	}
 	return nil
 }
 
-// Below lists the waiting items of tiers lower than t: the lowest tier first,
+// Below returns the waiting items of tiers lower than t: the lowest tier first,
 // within a tier the latest arrival first.
 func (q *Queue) Below(t request.Tier) []*Item {
 	var items []*Item
@@ -161,7 +164,7 @@
 	return items
 }
 
-// Items lists all waiting items, as Below does.
+// Items returns all waiting items, in the order of Below.
 func (q *Queue) Items() []*Item {
 	items := q.Below(0)
 	if len(q.tiers) > 0 {
@@ -170,8 +173,8 @@
 	return items
 }
 
-// Above is the number of waiting items of tiers higher than t.
-func (q *Queue) Above(t request.Tier) int {
+// CountAbove returns the number of waiting items of tiers higher than t.
+func (q *Queue) CountAbove(t request.Tier) int {
 	n := 0
 	for i := 0; i < len(q.tiers) && i < int(t); i++ {
 		n += q.tiers[i].count
@@ -179,11 +182,11 @@
 	return n
 }
 
-// Ahead estimates how many waiting items would be served before a newcomer:
-// all of higher tiers, those of its own organisation with less slack, and as
-// many of each other organisation of its tier as fairness lets go first.
+// Ahead estimates how many waiting items would be served before a new one: all
+// items of higher tiers, those of its own organisation with less slack, and as
+// many of each other organisation of its tier as fair sharing serves first.
 func (q *Queue) Ahead(t request.Tier, organisation string, due time.Time) int {
-	n := q.Above(t)
+	n := q.CountAbove(t)
 	if int(t) < len(q.tiers) {
 		n += q.tiers[t].ahead(organisation, due)
 	}
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1e6, 0)
 
-func anything(*Item) bool { return true }
+func anyItem(*Item) bool { return true }
 
 func item(id, org string, tier request.Tier, cost, due int) *Item {
 	return &Item{ID: ident.RequestID(id), Organisation: org, Tier: tier, Cost: cost, Prompt: cost, Due: start.Add(time.Duration(due) * time.Second)}
@@ -30,7 +30,7 @@
 func serve(q *Queue, n int) map[string]int {
 	served := map[string]int{}
 	for range n {
-		it := q.Head(anything)
+		it := q.Head(anyItem)
 		q.Take(it)
 		served[it.Organisation] += it.Cost
 	}
@@ -38,9 +38,10 @@
 }
 
 var _ = Describe("Queue", func() {
-	// One organisation floods the tier a hundred to one; another brings requests
-	// five times as large. Each gets the same tokens while all have work.
-	It("shares tokens, not requests, whatever the flood", func() {
+	// One organisation sends 50 times as many requests as each other; another's
+	// requests are five times as large. Each receives the same number of tokens while all
+	// have waiting work.
+	It("shares tokens, not requests, fairly under a flood", func() {
 		q := New(nil)
 		for i := range 1000 {
 			q.Push(item(fmt.Sprint("f", i), "flood", 1, 10, 1))
@@ -54,7 +55,7 @@
 		Expect(served["flood"]).To(BeNumerically("~", served["large"], 50))
 	})
 
-	It("follows weights", func() {
+	It("shares tokens in proportion to weights", func() {
 		q := New(func(org string) float64 { return map[string]float64{"a": 3, "b": 1}[org] })
 		for i := range 100 {
 			q.Push(item(fmt.Sprint("a", i), "a", 0, 10, 1))
@@ -64,10 +65,10 @@
 		Expect(served["a"]).To(BeNumerically("~", 3*served["b"], 30))
 	})
 
-	// An organisation sends its next request only when the last was taken, so it
-	// never has a backlog. It must not be served each time it comes, nor later
+	// An organisation sends its next request only after the last was taken, so it
+	// never has a backlog. It must be served neither at once each time, nor less
 	// than its share.
-	It("remembers the charge of one that comes and goes", func() {
+	It("keeps the charge of an organisation that repeatedly becomes idle", func() {
 		q := New(nil)
 		for i := range 100 {
 			q.Push(item(fmt.Sprint("f", i), "steady", 0, 10, 1))
@@ -75,7 +76,7 @@
 		q.Push(item("c0", "comes", 0, 10, 1))
 		served := map[string]int{}
 		for i := range 40 {
-			it := q.Head(anything)
+			it := q.Head(anyItem)
 			q.Take(it)
 			served[it.Organisation]++
 			if it.Organisation == "comes" {
@@ -97,7 +98,7 @@
 		Expect(q.Head(noLong)).To(BeIdenticalTo(short))
 	})
 
-	It("forgets organisations that have caught up", func() {
+	It("deletes idle organisations that the virtual time has reached", func() {
 		q := New(nil)
 		for i := range 100 {
 			q.Push(item(fmt.Sprint(i), fmt.Sprint("org", i), 0, 10, 1))
@@ -107,9 +108,9 @@
 	})
 })
 
-// TestOrder holds a random history against a plain list: the head is of the
+// TestOrder compares random operations with a plain list: the head is of the
 // highest tier and has the least slack of its organisation, Last is of the
-// lowest tier, and the counts agree.
+// lowest tier, and the counts are equal.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(nil)
@@ -135,7 +136,7 @@
 				q.Remove(it)
 				drop(it)
 			default:
-				head, last := q.Head(anything), q.Last()
+				head, last := q.Head(anyItem), q.Last()
 				for _, it := range all {
 					sameOrg := it.Tier == head.Tier && it.Organisation == head.Organisation
 					if it.Tier < head.Tier || it.Tier > last.Tier || sameOrg && it.Due.Before(head.Due) {
--- a/internal/core/queue/tier.go
+++ b/internal/core/queue/tier.go
@@ -7,9 +7,9 @@
 	"sycamoretrail/internal/core/heap"
 )
 
-// aheadCap bounds the search for items with less slack, so that an estimate
-// costs the same however long an organisation's backlog is.
-const aheadCap = 64
+// aheadSearchLimit bounds the search for items with less slack, so that the cost
+// of an estimate does not depend on the length of an organisation's backlog.
+const aheadSearchLimit = 64
 
 // tier holds the waiting items of one tier. virtual is its virtual time: the
 // start tag of the last item taken (start-time fair queueing).
@@ -18,26 +18,26 @@
 	count   int
 	orgs    map[string]*organisation
 	lanes   [laneCount]heap.Heap[*organisation]
-	// tails orders organisations by the end of their backlog, latest first.
-	tails heap.Heap[*organisation]
-	// idle holds organisations without waiting items that are ahead of the
-	// virtual time; their charge is remembered until it is made up.
+	// backlogEnds orders organisations by the end of their backlog, latest first.
+	backlogEnds heap.Heap[*organisation]
+	// idle holds organisations without waiting items that are ahead of the virtual
+	// time. They are kept until the virtual time reaches theirs.
 	idle heap.Heap[*organisation]
 }
 
 // organisation is one organisation's backlog within a tier.
 type organisation struct {
-	tier    *tier
-	name    string
-	weight  float64
-	virtual float64
-	cost    int
-	count   int
-	lanes   [laneCount]heap.Heap[*Item]
-	latest  heap.Heap[*Item]
-	inLane  [laneCount]int
-	inTails int
-	inIdle  int
+	tier          *tier
+	name          string
+	weight        float64
+	virtual       float64
+	cost          int
+	count         int
+	lanes         [laneCount]heap.Heap[*Item]
+	latest        heap.Heap[*Item]
+	inLane        [laneCount]int
+	inBacklogEnds int
+	inIdle        int
 }
 
 func newTier() *tier {
@@ -45,18 +45,18 @@
 	for lane := range t.lanes {
 		t.lanes[lane] = heap.New(earlier, func(o *organisation, i int) { o.inLane[lane] = i })
 	}
-	t.tails = heap.New(endsLater, func(o *organisation, i int) { o.inTails = i })
+	t.backlogEnds = heap.New(endsLater, func(o *organisation, i int) { o.inBacklogEnds = i })
 	t.idle = heap.New(earlier, func(o *organisation, i int) { o.inIdle = i })
 	return t
 }
 
 func newOrganisation(t *tier, name string) *organisation {
-	o := &organisation{tier: t, name: name, virtual: t.virtual, inTails: -1, inIdle: -1}
+	o := &organisation{tier: t, name: name, virtual: t.virtual, inBacklogEnds: -1, inIdle: -1}
 	for lane := range o.lanes {
-		o.lanes[lane] = heap.New(dueEarlier, placeFirst)
+		o.lanes[lane] = heap.New(dueEarlier, setFirstIndex)
 		o.inLane[lane] = -1
 	}
-	o.latest = heap.New(dueLater, placeLast)
+	o.latest = heap.New(dueLater, setLastIndex)
 	return o
 }
 
@@ -84,11 +84,12 @@
 
 func dueLater(a, b *Item) bool { return dueEarlier(b, a) }
 
-func placeFirst(it *Item, i int) { it.first = i }
+func setFirstIndex(it *Item, i int) { it.firstIndex = i }
 
-func placeLast(it *Item, i int) { it.last = i }
+func setLastIndex(it *Item, i int) { it.lastIndex = i }
 
-// end is the virtual time at which the organisation's backlog would be served.
+// end returns the virtual time at which the organisation's backlog would be
+// served completely.
 func (o *organisation) end() float64 { return o.virtual + float64(o.cost)/o.weight }
 
 func (t *tier) push(it *Item, weight float64) {
@@ -110,18 +111,19 @@
 	o.lanes[it.Lane].Push(it)
 	o.latest.Push(it)
 	t.count++
-	t.settle(o)
+	t.reindex(o)
 }
 
-// settle puts an organisation where its virtual time and backlog say.
-func (t *tier) settle(o *organisation) {
+// reindex updates an organisation's positions in the heaps after a change of its
+// virtual time or backlog.
+func (t *tier) reindex(o *organisation) {
 	for lane := range o.lanes {
-		place(&t.lanes[lane], o, o.inLane[lane], o.lanes[lane].Len() > 0)
+		updateHeap(&t.lanes[lane], o, o.inLane[lane], o.lanes[lane].Len() > 0)
 	}
-	place(&t.tails, o, o.inTails, o.count > 0)
+	updateHeap(&t.backlogEnds, o, o.inBacklogEnds, o.count > 0)
 }
 
-func place(h *heap.Heap[*organisation], o *organisation, index int, in bool) {
+func updateHeap(h *heap.Heap[*organisation], o *organisation, index int, in bool) {
 	switch {
 	case in && index >= 0:
 		h.Fix(index)
@@ -132,7 +134,7 @@
 	}
 }
 
-// charge books an item's cost when it is taken.
+// charge adds the cost of a taken item to its organisation's virtual time.
 func (t *tier) charge(o *organisation, cost int) {
 	t.virtual = max(t.virtual, o.virtual)
 	o.virtual += float64(cost) / o.weight
@@ -140,20 +142,20 @@
 
 func (t *tier) remove(it *Item) {
 	o := it.org
-	o.lanes[it.Lane].Remove(it.first)
-	o.latest.Remove(it.last)
+	o.lanes[it.Lane].Remove(it.firstIndex)
+	o.latest.Remove(it.lastIndex)
 	o.count--
 	o.cost -= it.Cost
 	t.count--
-	t.settle(o)
+	t.reindex(o)
 	if o.count == 0 {
 		t.idle.Push(o)
 	}
 	t.prune()
 }
 
-// prune forgets idle organisations that the virtual time has caught up with,
-// and all of them when the tier's busy period ends, which bounds the memory.
+// prune deletes idle organisations that the virtual time has reached, and all of
+// them when the tier's busy period ends, which bounds the memory.
 func (t *tier) prune() {
 	for t.idle.Len() > 0 {
 		o := t.idle.Top()
@@ -168,8 +170,8 @@
 	}
 }
 
-// head returns the next item that may start; blocked says that there is an
-// item, other than a suspect, that may not.
+// head returns the next item that may start. blocked reports that there is an
+// item, other than a suspect, that may not start.
 func (t *tier) head(may func(*Item) bool) (found *Item, blocked bool) {
 	for lane := range t.lanes {
 		if t.lanes[lane].Len() == 0 {
@@ -190,7 +192,7 @@
 	return found, blocked
 }
 
-// goesBefore compares the first items of two lanes.
+// goesBefore reports whether the first item of one lane precedes that of another.
 func goesBefore(a, b *Item) bool {
 	if a.org != b.org {
 		return earlier(a.org, b.org)
@@ -199,7 +201,7 @@
 }
 
 func (t *tier) ahead(name string, due time.Time) int {
-	others := t.tails.Len()
+	others := t.backlogEnds.Len()
 	before := 0
 	if o := t.orgs[name]; o != nil && o.count > 0 {
 		others--
@@ -208,14 +210,15 @@
 	return min(t.count, before+(before+1)*others)
 }
 
-// before counts the organisation's items with less slack than due.
+// before estimates the number of the organisation's items that are due no later
+// than due.
 func (o *organisation) before(due time.Time) int {
 	n := 0
 	holds := func(it *Item) bool { return !it.Due.After(due) }
 	for lane := range o.lanes {
-		n += o.lanes[lane].CountWhile(holds, aheadCap)
+		n += o.lanes[lane].CountWhile(holds, aheadSearchLimit)
 	}
-	if n >= aheadCap {
+	if n >= aheadSearchLimit {
 		return o.count
 	}
 	return n
--- a/internal/core/scheduler/estimate.go
+++ b/internal/core/scheduler/estimate.go
@@ -141,7 +141,7 @@
 	}
 	waits := make([]time.Duration, t.set.Tiers)
 	for tier := range waits {
-		waits[tier] = t.waitBehind(t.queue.Above(request.Tier(tier+1)), 0)
+		waits[tier] = t.waitBehind(t.queue.CountAbove(request.Tier(tier+1)), 0)
 	}
 	return waits
 }
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -157,7 +157,7 @@
 	if from != r.from || m.Ask <= r.offer.Ask || r.reported || r.preempting {
 		return
 	}
-	if s.lowestGranted(r.target).Above(r.offer.Tier) || r.target.queue.Above(r.offer.Tier) > 0 {
+	if s.lowestGranted(r.target).Above(r.offer.Tier) || r.target.queue.CountAbove(r.offer.Tier) > 0 {
 		return
 	}
 	r.offer.Ask = m.Ask
--- a/internal/core/scheduler/shed.go
+++ b/internal/core/scheduler/shed.go
@@ -194,7 +194,7 @@
 // brings. The newcomer may be in time by fairness; then it is another who isn't.
 func (s *Scheduler) easeQueue(o *offer) {
 	t := o.target
-	if o.gone || !o.Waiting() || !t.late(o, t.waitBehind(t.queue.Above(o.Tier+1)-1, o.service)) {
+	if o.gone || !o.Waiting() || !t.late(o, t.waitBehind(t.queue.CountAbove(o.Tier+1)-1, o.service)) {
 		return
 	}
 	if r := s.victimFor(o); r != nil && t.computed(r) <= o.Cost {
--- a/internal/core/scheduler/target.go
+++ b/internal/core/scheduler/target.go
@@ -105,7 +105,7 @@
 	t.may = t.mayStart
 	t.higherWaits = func(tier request.Tier) bool {
 		for _, other := range s.pools[desc.Pool] {
-			if other.queue.Above(tier) > 0 {
+			if other.queue.CountAbove(tier) > 0 {
 				return true
 			}
 		}
--- a/internal/core/scheduler/view.go
+++ b/internal/core/scheduler/view.go
@@ -25,7 +25,7 @@
 		InFlight:       len(t.runs),
 		Queued:         t.queue.Len(),
 		QueuedPrefill:  t.backlog(),
-		WaitingPrefill: t.queue.Prompt(),
+		WaitingPrefill: t.queue.PromptTokens(),
 		Waits:          t.waits(),
 		PrefillRate:    rate,
 		StepTime:       step,
