--- a/internal/core/estimate/estimate.go
+++ b/internal/core/estimate/estimate.go
@@ -1,11 +1,11 @@
 // Package estimate learns the speed of one target from the streams that the
-// entries see themselves, so that waits, deadlines and limits need no load
-// report of the target. The document's class figures are the prior; they fade
-// as samples come. Every statistic is robust: one outlier does not move it.
+// entries observe, so that waits, deadlines and limits require no load reports
+// from the target. The document's class figures are the prior; their weight
+// decreases with each sample. Every statistic is robust against single outliers.
 //
-// Durations are wall time of the target as its callers see it; rates are
-// prompt tokens per second. Nothing here returns an error: a sample without a
-// usable part is ignored.
+// Durations are wall time as the target's callers see it; rates are prompt
+// tokens per second. Nothing here returns an error: unusable parts of a sample
+// are ignored.
 package estimate
 
 import (
@@ -16,26 +16,27 @@
 )
 
 const (
-	// defaultStep, defaultPrefillRate and defaultMaxInFlight stand in for class
-	// figures that the document leaves out.
+	// defaultStep, defaultPrefillRate and defaultMaxInFlight replace class figures
+	// that the document omits.
 	defaultStep        = 20 * time.Millisecond
 	defaultPrefillRate = 4000.0
 	defaultMaxInFlight = 8
-	// minStepTokens is the least answer whose mean step time says anything.
+	// minStepTokens is the length of the shortest answer that has a mean step time.
 	minStepTokens = 2
 	// minStep keeps a learned step above zero.
 	minStep = 10 * time.Microsecond
 )
 
-// Prior is what the document says of a target's class.
+// Prior is the document's figures for a target's class.
 type Prior struct {
-	// PrefillRate is prompt tokens per second; 0 for services.
+	// PrefillRate is in prompt tokens per second; 0 for services.
 	PrefillRate float64
-	// StepTime is the time between tokens; for a service the time of a call.
+	// StepTime is the time between tokens, or for a service the time of a call.
 	StepTime time.Duration
 	// MaxInFlight bounds Limit.
 	MaxInFlight int
-	// Service: calls have no tokens; FirstToken is the time of the whole call.
+	// Service reports that calls have no tokens, and that a sample's FirstToken is
+	// the time of the complete call.
 	Service bool
 }
 
@@ -49,7 +50,8 @@
 	limit   limiter
 }
 
-// New starts from the prior; absent figures take defaults.
+// New returns an estimate that starts from the prior. Missing figures are
+// replaced by defaults.
 func New(p Prior) *Estimate {
 	p = withDefaults(p)
 	e := &Estimate{service: p.Service}
@@ -72,8 +74,9 @@
 	return p
 }
 
-// Observe takes what one run showed. Parts not seen are zero and ignored, so a
-// run that still streams may be reported too. now only ages the history.
+// Observe adds the measurements of one run. Parts that were not measured are zero
+// and ignored, so a run that is still streaming may be reported too. now is used
+// only to age the history.
 func (e *Estimate) Observe(now time.Time, s message.Sample) {
 	if e.service {
 		e.observeCall(now, s)
@@ -92,11 +95,11 @@
 	work := float64(max(s.PromptTokens-s.CachedTokens, 0) + max(s.QueuedPrefill, 0))
 	first := s.FirstToken.Seconds()
 	queued := e.prefill.queued(first, work, step)
-	low := e.limit.low(s.Batch)
-	// Failure: at a high batch a late first token may be the engine's queue.
-	// Symptom: the queue would be learned as slow prefill, explain itself and
-	// never lower the limit. It is enough to learn slowness at a low batch
-	// only, since the limit falls until the batch is low.
+	low := e.limit.isLowBatch(s.Batch)
+	// At a high batch a late first token may be caused by the engine's own queue.
+	// If the queue were learned as slow prefill, the estimate would account for it
+	// and the limit would never decrease. It suffices to learn slow prefill at a
+	// low batch, since the limit decreases until the batch is low.
 	if !queued || low {
 		e.prefill.add(work, first-step, low)
 	}
@@ -108,7 +111,7 @@
 	e.history.add(now, step/expected)
 	if e.history.rebase(now) {
 		e.steps.scale(e.history.level())
-		e.history.forget()
+		e.history.reset()
 		return
 	}
 	if e.history.slow() || e.history.straggler {
@@ -130,7 +133,7 @@
 	e.observeStep(now, call, s.Batch)
 }
 
-// PrefillRate is prompt tokens per second; 0 for a service.
+// PrefillRate returns the prompt tokens per second, or 0 for a service.
 func (e *Estimate) PrefillRate() float64 {
 	if e.service {
 		return 0
@@ -138,8 +141,9 @@
 	return e.prefill.rate()
 }
 
-// StepTime is the time between tokens when batch requests run there, or the
-// time of a call to a service. It follows a straggler's present speed.
+// StepTime returns the time between tokens while batch requests run at the
+// target, or the time of a call to a service. It follows a straggler's current
+// speed.
 func (e *Estimate) StepTime(batch int) time.Duration {
 	return max(seconds(e.stepSeconds(batch)), minStep)
 }
@@ -169,20 +173,21 @@
 	return first + time.Duration(maxTokens-1)*e.StepTime(inFlight+1)
 }
 
-// Limit is how many requests the target should hold now: between 1 and
-// MaxInFlight, less while its step times are slow, 1 while it is a straggler.
+// Limit returns how many requests the target should hold now: between 1 and
+// MaxInFlight, fewer while its step times are slow, 1 while it is a straggler.
 func (e *Estimate) Limit() int {
 	limit := e.limit.value()
 	switch {
 	case e.history.straggler:
 		return 1
 	case e.history.slow():
-		return max(limit/slowShare, 1)
+		return max(limit/slowDivisor, 1)
 	}
 	return limit
 }
 
-// Straggler reports whether the target's step time left its own history.
+// Straggler reports whether the target's step times are far above its own
+// history.
 func (e *Estimate) Straggler() bool { return e.history.straggler }
 
 func seconds(s float64) time.Duration {
--- a/internal/core/estimate/estimate_test.go
+++ b/internal/core/estimate/estimate_test.go
@@ -13,13 +13,13 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// engine is a target whose true speed the test knows.
+// engine simulates a target of known speed.
 type engine struct {
 	rate       float64 // prompt tokens/s
 	step       float64 // seconds at batch 0
 	perRequest float64 // seconds that each request of the batch adds
-	slots      int     // beyond it the engine queues; 0: never
-	slow       float64 // all times longer by this factor
+	slots      int     // requests beyond it are queued; 0: never
+	slow       float64 // factor of all times
 	random     *rand.Rand
 	now        time.Time
 }
@@ -29,7 +29,7 @@
 		random: rand.New(rand.NewPCG(7, 7)), now: time.Unix(1000, 0)}
 }
 
-// run is the sample of one request, with noise of 10 %.
+// run returns the sample of one request, with noise of 10 %.
 func (g *engine) run(prompt, batch int) message.Sample {
 	g.now = g.now.Add(time.Second)
 	noise := g.slow * (0.9 + 0.2*g.random.Float64())
@@ -48,13 +48,13 @@
 	}
 }
 
-// perBatch is the batch sizes of targets under changing load.
-var perBatch = []int{1, 4, 8, 12, 16, 2, 6, 10}
+// batchSizes is the sequence of batch sizes under changing load.
+var batchSizes = []int{1, 4, 8, 12, 16, 2, 6, 10}
 
 var _ = Describe("speed", func() {
 	prior := Prior{PrefillRate: 5000, StepTime: 20 * time.Millisecond, MaxInFlight: 16}
 
-	It("answers from the prior until there are samples", func() {
+	It("uses the prior until there are samples", func() {
 		e := New(prior)
 		Expect(e.PrefillRate()).To(BeNumerically("~", 5000, 1))
 		Expect(e.FirstToken(5000, 2500, 2500, 0)).To(BeNumerically("~", 1020*time.Millisecond, time.Millisecond))
@@ -62,10 +62,10 @@
 		Expect(e.Limit()).To(Equal(16))
 	})
 
-	It("tells two generations of hardware apart that share a wrong prior", func() {
+	It("distinguishes two hardware generations that share a wrong prior", func() {
 		old, fresh := New(prior), New(prior)
-		newEngine(2000, 0.050, 0.001).feed(old, 60, 1000, perBatch...)
-		newEngine(20000, 0.008, 0.0005).feed(fresh, 60, 1000, perBatch...)
+		newEngine(2000, 0.050, 0.001).feed(old, 60, 1000, batchSizes...)
+		newEngine(20000, 0.008, 0.0005).feed(fresh, 60, 1000, batchSizes...)
 		Expect(old.PrefillRate()).To(BeNumerically("~", 2000, 300))
 		Expect(fresh.PrefillRate()).To(BeNumerically("~", 20000, 3000))
 		Expect(old.StepTime(16).Seconds()).To(BeNumerically("~", 0.066, 0.007))
@@ -74,7 +74,7 @@
 		Expect(old.Straggler()).To(BeFalse())
 	})
 
-	It("takes a call's time for a service", func() {
+	It("uses the time of a call for a service", func() {
 		e := New(Prior{StepTime: 20 * time.Millisecond, MaxInFlight: 8, Service: true})
 		for range 40 {
 			e.Observe(time.Unix(1, 0), message.Sample{FirstToken: 60 * time.Millisecond, Batch: 2})
@@ -83,15 +83,15 @@
 		Expect(e.Total(9999, 0, 100, 9999, 1).Seconds()).To(BeNumerically("~", 0.060, 0.003))
 	})
 
-	It("ignores what a sample does not show", func() {
+	It("ignores parts that a sample does not have", func() {
 		e := New(prior)
 		e.Observe(time.Unix(1, 0), message.Sample{})
 		e.Observe(time.Unix(1, 0), message.Sample{PromptTokens: 9, Tokens: 1, StepTime: time.Hour})
 		Expect(*e).To(Equal(*New(prior)))
 	})
 
-	// Samples come from peers of any version. Whatever they hold, places and
-	// speeds must stay within bounds, or one bad peer would stop a target.
+	// Samples come from peers of any version. Whatever their values, limits and
+	// speeds must stay within bounds, or one faulty peer could block a target.
 	It("stays within bounds for any samples", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			e := New(prior)
@@ -119,13 +119,13 @@
 		Expect(int(reflect.TypeFor[Estimate]().Size())).To(BeNumerically("<=", 320))
 	})
 
-	// One request meets a pause of the engine and shows a first token and steps a
-	// hundred times longer. The next decisions must rest on the other samples, or
-	// one pause would turn callers away from a sound target.
-	It("is not moved by one outlier", func() {
+	// During a pause of the engine one request has a first token and steps that take
+	// 100 times as long. Estimates must not follow that sample, or a single pause
+	// would make entries refuse work that the target can serve.
+	It("is robust against one outlier", func() {
 		g := newEngine(5000, 0.020, 0.0005)
 		e := New(prior)
-		g.feed(e, 60, 1000, perBatch...)
+		g.feed(e, 60, 1000, batchSizes...)
 		rate, step, limit := e.PrefillRate(), e.StepTime(8), e.Limit()
 		g.slow = 100
 		g.feed(e, 1, 1000, 8)
@@ -142,47 +142,49 @@
 	BeforeEach(func() {
 		g = newEngine(5000, 0.020, 0.0005)
 		e = New(Prior{PrefillRate: 5000, StepTime: 20 * time.Millisecond, MaxInFlight: 16})
-		g.feed(e, 60, 500, perBatch...)
+		g.feed(e, 60, 500, batchSizes...)
 	})
 
-	// A target falls to a fifth of its speed. First it gets half its places, then
-	// one at a time, and its present speed is what callers are promised. When the
-	// trials are back in its history it gets its places back.
-	It("gets less, then trials, and recovers", func() {
+	// A target slows down to a fifth of its speed. Its limit is first halved, then
+	// reduced to one request, and estimates follow its current speed. When the trial
+	// requests match its history again, the limit recovers.
+	It("has its limit reduced, then runs trial requests, and recovers", func() {
 		g.slow = 5
 		g.feed(e, slowCount, 500, 8)
 		Expect(e.Straggler()).To(BeFalse())
-		Expect(e.Limit()).To(Equal(16 / slowShare))
+		Expect(e.Limit()).To(Equal(16 / slowDivisor))
 		g.feed(e, 100, 500, 8)
 		Expect(e.Straggler()).To(BeTrue())
 		Expect(e.Limit()).To(Equal(1))
 		Expect(e.StepTime(8).Seconds()).To(BeNumerically("~", 0.120, 0.02))
 		g.slow = 1
 		g.feed(e, recoveredCount-1, 500, 1)
-		Expect(e.Straggler()).To(BeTrue(), "still on trial")
+		Expect(e.Straggler()).To(BeTrue(), "not recovered yet")
 		g.feed(e, historyWindow, 500, 1)
 		Expect(e.Straggler()).To(BeFalse())
 		Expect(e.Limit()).To(BeNumerically(">=", 4))
 	})
 
-	// A target stays slow for good (its new model is larger). After the stated
-	// time its speed is its history: it is scored as a slower target and filled.
-	It("becomes an ordinary slower target after a long steady time", func() {
+	// A target stays slow permanently, for example with a larger model. After
+	// rebaseAfter its speed becomes its history, and it is treated as an ordinary
+	// slower target with its full limit.
+	It("becomes an ordinary slower target after rebaseAfter", func() {
 		g.slow = 3
 		g.feed(e, 20, 500, 8)
 		Expect(e.Straggler()).To(BeTrue())
 		g.now = g.now.Add(rebaseAfter)
-		g.feed(e, 40, 500, perBatch...)
+		g.feed(e, 40, 500, batchSizes...)
 		Expect(e.Straggler()).To(BeFalse())
 		Expect(e.StepTime(8).Seconds()).To(BeNumerically("~", 0.072, 0.015))
 	})
 })
 
 var _ = Describe("limit", func() {
-	// The class claims 32 places, the engine runs 10 and queues the rest unseen.
-	// First tokens come later than prefill explains, so the limit falls to what
-	// the engine runs, while its prefill rate is not taken for slow.
-	It("falls to what the engine runs, and rises slowly when it runs more", func() {
+	// The class declares 32 slots, but the engine runs 10 and queues the rest
+	// internally. First tokens come later than prefill explains, so the limit
+	// decreases to what the engine runs, and the prefill rate is not learned as
+	// slow.
+	It("decreases to what the engine runs, and rises slowly when it runs more", func() {
 		g := newEngine(5000, 0.020, 0)
 		g.slots = 10
 		e := New(Prior{PrefillRate: 5000, StepTime: 20 * time.Millisecond, MaxInFlight: 32})
@@ -203,10 +205,10 @@
 		Expect(e.Limit()).To(Equal(32))
 	})
 
-	// Entries that fell back to their own shares keep the engine overfull, so its
-	// queue never ends. The rate must stay what the engine computes, or the queue
-	// would count as prefill and the limit would rise under it.
-	It("does not learn a lasting queue as slow prefill", func() {
+	// Entries that use their shares without a scheduler keep the engine overloaded,
+	// so it always has a queue. The rate must remain the engine's actual rate. If
+	// the queue counted as prefill, the limit would rise in spite of it.
+	It("does not learn a permanent queue as slow prefill", func() {
 		g := newEngine(5000, 0.020, 0)
 		g.slots = 10
 		e := New(Prior{PrefillRate: 5000, StepTime: 20 * time.Millisecond, MaxInFlight: 32})
@@ -215,10 +217,10 @@
 		Expect(e.Limit()).To(Equal(1))
 	})
 
-	// The class claims a prefill rate ten times too high. Every first token looks
-	// queued, the limit falls until no queue is possible, and only there the
-	// engine's own slowness is learned; then the places come back.
-	It("finds slow prefill behind a wrong prior", func() {
+	// The class declares a prefill rate ten times too high. Every first token appears
+	// to be queued, so the limit decreases until no queue is possible. Only then is
+	// the actual rate learned, and the limit rises again.
+	It("learns slow prefill in spite of a wrong prior", func() {
 		g := newEngine(1000, 0.020, 0)
 		e := New(Prior{PrefillRate: 10000, StepTime: 20 * time.Millisecond, MaxInFlight: 16})
 		least := e.Limit()
@@ -231,7 +233,7 @@
 		Expect(e.Limit()).To(Equal(16))
 	})
 
-	It("does not count known prefill ahead as a queue", func() {
+	It("does not count known prefill ahead of a request as a queue", func() {
 		g := newEngine(5000, 0.020, 0)
 		e := New(Prior{PrefillRate: 5000, StepTime: 20 * time.Millisecond, MaxInFlight: 16})
 		for range 100 {
@@ -246,7 +248,7 @@
 })
 
 var _ = Describe("answer share", func() {
-	It("learns how much of what they allow requests use", func() {
+	It("learns the share of allowed tokens that answers use", func() {
 		var a AnswerShare
 		Expect(a.Expect(400)).To(Equal(400))
 		random := rand.New(rand.NewPCG(1, 1))
--- a/internal/core/estimate/prefill.go
+++ b/internal/core/estimate/prefill.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// prefillRingSize samples are held; the oldest makes way.
+	// prefillRingSize is the number of samples kept; a new one replaces the oldest.
 	prefillRingSize = 16
-	// prefillPriorCount places of the ring start with the prior, each with
-	// prefillPriorWeight.
+	// prefillPriorCount is the number of samples that the prior starts with, each
+	// of weight prefillPriorWeight.
 	prefillPriorCount  = 4
 	prefillPriorWeight = 4
-	// prefillUnit is the work that weighs 1. The weight grows with the
-	// logarithm, so that no single brief outweighs the rest of the ring.
+	// prefillUnit is the work, in tokens, that has weight 1. The weight grows with
+	// the logarithm, so that no single long prompt outweighs the rest of the ring.
 	prefillUnit = 64
-	// queueFactor times the explained time, and queueSteps steps more, is a
-	// first token that prefill does not explain.
+	// A first token counts as queued if it takes longer than queueFactor times the
+	// expected time plus queueSteps steps.
 	queueFactor = 2.0
 	queueSteps  = 2.0
 )
@@ -25,8 +25,8 @@
 	weights [prefillRingSize]float32
 	next    uint8
 	used    uint8
-	// median is the estimate. reference is the estimate at a low batch: what
-	// the engine does when it has no queue of its own.
+	// median is the estimate. reference is the estimate at a low batch, when the
+	// engine has no queue of its own.
 	median, reference float64
 }
 
@@ -40,14 +40,14 @@
 
 func (r *prefillRing) rate() float64 { return r.median }
 
-// queued reports whether the first token came later than the work explains;
-// all times in seconds.
+// queued reports whether the first token came later than the work explains. All
+// times are in seconds.
 func (r *prefillRing) queued(first, work, step float64) bool {
 	explained := work/r.reference + step
 	return first > queueFactor*explained+queueSteps*step
 }
 
-// add takes one sample: work tokens computed in the given seconds.
+// add adds one sample: work tokens computed in taken seconds.
 func (r *prefillRing) add(work, taken float64, lowBatch bool) {
 	if work <= 0 || taken <= 0 {
 		return
--- a/internal/core/estimate/share.go
+++ b/internal/core/estimate/share.go
@@ -1,34 +1,35 @@
 package estimate
 
 const (
-	// shareQuantile of the answers are no longer than Expect says.
+	// shareQuantile is the share of answers that are no longer than Expect returns.
 	shareQuantile = 0.8
 	shareGain     = 0.05
-	shareLeast    = 0.02
+	minShare      = 0.02
 )
 
-// AnswerShare learns what part of the tokens that requests allow their answers
-// take, as an upper quantile. The zero value expects the whole.
-type AnswerShare struct{ below float64 }
+// AnswerShare learns an upper quantile of the share of allowed tokens that
+// answers use. The zero value expects all of them.
+type AnswerShare struct{ reduction float64 }
 
-// Observe takes the length of a complete answer and what its request allowed.
+// Observe adds the length of a complete answer and the length that its request
+// allowed.
 func (a *AnswerShare) Observe(tokens, allowed int) {
 	if allowed <= 0 || tokens <= 0 {
 		return
 	}
-	share := 1 - a.below
+	share := 1 - a.reduction
 	if float64(tokens)/float64(allowed) > share {
 		share += shareGain * shareQuantile
 	} else {
 		share -= shareGain * (1 - shareQuantile)
 	}
-	a.below = 1 - min(max(share, shareLeast), 1)
+	a.reduction = 1 - min(max(share, minShare), 1)
 }
 
-// Expect is the length, in tokens, that few answers exceed.
+// Expect returns the length, in tokens, that few answers exceed.
 func (a *AnswerShare) Expect(allowed int) int {
 	if allowed <= 0 {
 		return 0
 	}
-	return max(int(float64(allowed)*(1-a.below)), 1)
+	return max(int(float64(allowed)*(1-a.reduction)), 1)
 }
--- a/internal/core/estimate/steps.go
+++ b/internal/core/estimate/steps.go
@@ -3,27 +3,28 @@
 import "math"
 
 const (
-	// stepDecay is what each sample leaves of the former ones' weight; the line
-	// rests on about 1/(1-stepDecay) samples.
+	// stepDecay is the factor by which each sample reduces the weight of previous
+	// ones. The line represents about 1/(1-stepDecay) samples.
 	stepDecay = 0.97
-	// stepLearnDecay holds until the history is established, so that a prior
-	// that is far off is gone before the target is held against its line.
+	// stepLearnDecay applies until the history is established, so that a wrong
+	// prior has no weight left when the target is first compared with its line.
 	stepLearnDecay = 0.8
-	// stepPriorWeight is how many samples each of the prior's two points counts.
+	// stepPriorWeight is the weight, in samples, of each of the prior's two points.
 	stepPriorWeight = 2
-	// stepClip bounds how far, as a factor, one sample may lie from the line.
+	// stepClip bounds the distance of one sample from the line, as a factor.
 	stepClip = 2.0
-	// stepRidge draws the slope to zero while batches hardly vary, in batches².
+	// stepRidge reduces the slope to zero while batches hardly vary, in batches².
 	stepRidge = 0.05
 )
 
-// stepLine is step time against batch size, in seconds: a line by least
-// squares over decayed sums.
+// stepLine is the step time, in seconds, as a linear function of batch size,
+// fitted by least squares over decayed sums.
 type stepLine struct {
 	weight, batch, step, batchBatch, batchStep float64
 }
 
-// newStepLine starts flat at the prior, between batch 1 and the largest.
+// newStepLine returns a flat line at the prior's step time, from batch 1 to
+// maxBatch.
 func newStepLine(step float64, maxBatch int) stepLine {
 	var l stepLine
 	l.put(stepPriorWeight, 1, step)
@@ -31,7 +32,7 @@
 	return l
 }
 
-// add takes one sample; batch 0 is not known and moves the level only.
+// add adds one sample. An unknown batch, 0, changes the level only.
 func (l *stepLine) add(batch int, step, decay float64) {
 	b := l.batchOr(batch)
 	expected := l.at(b)
@@ -62,7 +63,7 @@
 	l.batchStep *= by
 }
 
-// batchOr is the batch as a number, the mean of the samples if not known.
+// batchOr returns the batch, or the samples' mean batch if it is not known.
 func (l *stepLine) batchOr(batch int) float64 {
 	if batch > 0 {
 		return float64(batch)
@@ -70,8 +71,8 @@
 	return l.batch / l.weight
 }
 
-// at is the step time at a batch. The slope is never negative, and a line that
-// would reach zero above batch 0 is replaced by one through the origin.
+// at returns the step time at a batch. The slope is never negative, and a line
+// that would reach zero above batch 0 is replaced by one through the origin.
 func (l *stepLine) at(batch float64) float64 {
 	meanBatch := l.batch / l.weight
 	meanStep := l.step / l.weight
