--- a/internal/core/scheduler/bench_test.go
+++ b/internal/core/scheduler/bench_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// BenchmarkDecision measures one decision: an offer comes, a run ends, and the
-// place that it leaves is granted.
+// BenchmarkDecision measures one decision: an offer arrives, a run ends, and the
+// slot that becomes free is granted.
 func BenchmarkDecision(b *testing.B) {
 	for _, targets := range []int{1, 10, 50, 200} {
 		for _, queued := range []int{0, 100, 1000, 10000} {
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkRefusal measures a refusal for load while a floor stands.
+// BenchmarkRefusal measures a refusal for load while a floor is in force.
 func BenchmarkRefusal(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := New("self", 1, nil)
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkTick measures what passing time costs where nothing happens.
+// BenchmarkTick measures a tick without any activity.
 func BenchmarkTick(b *testing.B) {
 	for _, targets := range []int{1, 10, 50, 200} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
--- a/internal/core/scheduler/cut.go
+++ b/internal/core/scheduler/cut.go
@@ -8,121 +8,126 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// mayBeLate reports whether all offers whose time is over could still have a
-// whole answer by their deadline.
-func (h *holding) mayBeLate(s *Scheduler) bool {
-	return !slices.ContainsFunc(h.offers, func(o *offer) bool { return o.doomed && !o.mayBeLate(s) })
+// completableLate reports whether all expired offers could still receive a
+// complete answer by their deadline.
+func (h *heldGroup) completableLate(s *Scheduler) bool {
+	return !slices.ContainsFunc(h.offers, func(o *offer) bool { return o.expired && !o.completableLate(s) })
 }
 
-func (o *offer) mayBeLate(s *Scheduler) bool {
-	return !o.firstBy.IsZero() && o.dueWhole().After(s.now.Add(s.set.Grant))
+func (o *offer) completableLate(s *Scheduler) bool {
+	return !o.firstTokenBy.IsZero() && o.latestCompleteStart().After(s.now.Add(s.settings.Grant))
 }
 
-// dueWhole is the latest start for a whole answer by the deadline.
-func (o *offer) dueWhole() time.Time {
-	return o.deadline.Add(-o.target.est.Total(o.Prompt, 0, o.msg.MaxTokens, 0, 0))
+// latestCompleteStart returns the latest start for a complete answer by the
+// deadline.
+func (o *offer) latestCompleteStart() time.Time {
+	return o.deadline.Add(-o.target.estimator.Total(o.Prompt, 0, o.msg.MaxTokens, 0, 0))
 }
 
-// serveLate lets an offer wait on without its first token's bound.
+// waiveFirstToken requeues an offer without its first-token deadline.
 //
-// Failure: one short request is refused, so every lower run must be cancelled.
-// Symptom: twenty briefs are computed in vain. Answered late instead of refused
-// it costs its own tokens, and as its start may come later now, it stands behind
-// all that can still be in time.
-func (s *Scheduler) serveLate(o *offer) bool {
+// To refuse even one short request, every lower run would have to be cancelled,
+// which can waste the prefill of twenty long prompts. A late answer costs only
+// the request's own tokens, and since its latest start is later now, it queues
+// behind all requests that can still meet their deadlines.
+func (s *Scheduler) waiveFirstToken(o *offer) bool {
 	t := o.target
-	if !o.mayBeLate(s) || !t.available || t.queue.Len() >= max(1, s.set.QueuePerTarget) {
+	if !o.completableLate(s) || !t.available || t.queue.Len() >= max(1, s.settings.QueuePerTarget) {
 		return false
 	}
-	s.release(o)
-	o.doomed, o.preempting = false, false
-	o.firstBy, o.msg.FirstToken = time.Time{}, 0
-	o.Due = o.dueWhole()
+	s.unhold(o)
+	o.expired, o.preempting = false, false
+	o.firstTokenBy, o.msg.FirstToken = time.Time{}, 0
+	o.Due = o.latestCompleteStart()
 	o.stage = stageWaiting
 	t.queue.Push(&o.Item)
-	s.timers.set(o, o.nextTime(s))
+	s.timers.set(o, o.nextTimer(s))
 	s.fill(t)
 	return true
 }
 
 const (
-	// cutTrips bound how long the end of cancelled runs is waited for, cutLooks is
-	// how often a trip's time it is asked for.
-	cutTrips = 2
-	cutLooks = 4
+	// preemptionTrips is the longest wait for the end of cancelled runs, in trip
+	// times; preemptionPolls is how many times per trip time it is checked.
+	preemptionTrips = 2
+	preemptionPolls = 4
 )
 
-// doom keeps an offer whose time is over for the moment in which the lower runs
-// of the pool are cancelled.
+// expireAfterPreemption holds an expired offer while the lower runs of the pool
+// are cancelled.
 //
-// Failure: it is refused while such runs go on; or they are cancelled earlier,
-// for an offer that then gets a place in time.
-func (s *Scheduler) doom(o *offer) {
-	o.doomed = true
-	o.doomedBy = earliest(o.deadline, s.now.Add(cutTrips*s.set.tripTime()))
+// Refused at once, the offer would be refused while such runs continue. If the
+// runs were cancelled earlier, that could be for an offer that then obtains a
+// slot in time.
+func (s *Scheduler) expireAfterPreemption(o *offer) {
+	o.expired = true
+	o.expiredUntil = earliest(o.deadline, s.now.Add(preemptionTrips*s.settings.tripTime()))
 	o.target.queue.Remove(&o.Item)
-	if o.holding == nil {
-		s.keep(o)
+	if o.group == nil {
+		s.addHeld(o)
 	}
-	h := o.holding
-	h.again = s.now
-	s.ask(h)
+	h := o.group
+	h.nextExchange = s.now
+	s.startExchange(h)
 }
 
-// worth reports whether a run that has cost so much, in tokens, is cancelled for
-// an offer now: one that has cost more than the offer brings only at the last
-// moment, if a place may come free by itself before.
-func (s *Scheduler) worth(o *offer, cost int) bool {
-	last := o.costlyAt(s)
-	return cost <= o.Cost || !s.now.Before(last) || !o.target.freesBy(last)
+// worthwhile reports whether a run that has computed cost tokens is cancelled
+// for an offer now. If a slot may become free by itself before, a run that has
+// computed more tokens than the offer requests is cancelled only at the last
+// moment.
+func (s *Scheduler) worthwhile(o *offer, cost int) bool {
+	last := o.expensivePreemptAt(s)
+	return cost <= o.Cost || !s.now.Before(last) || !o.target.freesSlotBy(last)
 }
 
-// freesBy reports whether a run will probably end by then.
-func (t *target) freesBy(end time.Time) bool {
+// freesSlotBy reports whether a run is expected to end before the given time.
+func (t *target) freesSlotBy(end time.Time) bool {
 	for _, r := range t.runs {
-		if r.end.Before(end) {
+		if r.expectedEnd.Before(end) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayPreemptHere: where a floor was promised meanwhile, nothing below it may join
-// a queue.
+// mayPreemptHere reports whether a run may be cancelled for an offer at its own
+// target. If a floor has been promised since, no offer below it may join a
+// queue.
 func (s *Scheduler) mayPreemptHere(o *offer) bool {
-	return !o.doomed && (o.Waiting() || s.admissible(o))
+	return !o.expired && (o.Waiting() || s.admissible(o))
 }
 
-// preemptHere cancels a run at the target where a held offer is, and lets the
-// offer wait for its place.
+// preemptHere cancels a run at the target of a held offer and queues the offer
+// for its slot.
 func (s *Scheduler) preemptHere(o *offer) {
 	t := o.target
 	if !s.mayPreemptHere(o) {
 		return
 	}
-	s.release(o)
+	s.unhold(o)
 	if !o.Waiting() {
 		t.queue.Push(&o.Item)
 	}
 	s.preempt(o)
 	s.fill(t)
-	if !o.gone && t.queue.Len() > max(1, s.set.QueuePerTarget) {
+	if !o.removed && t.queue.Len() > max(1, s.settings.QueuePerTarget) {
 		s.shedOne(o)
 	}
 }
 
-// yield cuts the lower runs that may be cancelled, before a request of a tier is
-// refused, and reports whether some are on their way out. Runs are spared, and
-// nothing is cut, if one has cost more than spare tokens; 0 spares none.
+// preemptLower cancels the lower runs that may be cancelled before a request of
+// a tier is refused, and reports whether any are still being cancelled. If one
+// of them has computed more than maxCost tokens, all are spared; 0 spares none.
 //
-// Failure: the asker's request could not be in time at this target, so no room
-// was named. Symptom: it is refused while the lower runs here go on. Also a run
-// in its last moments is cut: how long those last is an estimate.
-func (s *Scheduler) yield(pool string, tier request.Tier, spare int) (cutting, dear bool) {
-	if !s.set.Preempt {
+// If the request could not meet its deadline at this target, no capacity was
+// reported, and without preemption it would be refused while lower runs continue
+// here. Runs near their expected end are cancelled too, since that end is only
+// an estimate.
+func (s *Scheduler) preemptLower(pool string, tier request.Tier, maxCost int) (preempting, spared bool) {
+	if !s.settings.Preempt {
 		return false, false
 	}
-	if spare > 0 && s.dearest(pool, tier) > spare {
+	if maxCost > 0 && s.maxLowerCost(pool, tier) > maxCost {
 		return false, true
 	}
 	for _, t := range s.pools[pool] {
@@ -131,37 +136,38 @@
 				s.sendPreempt(r)
 			}
 		}
-		cutting = cutting || t.preempting() > 0
+		preempting = preempting || t.preemptingRuns() > 0
 	}
-	return cutting, false
+	return preempting, false
 }
 
-// dearest is what the dearest lower run has cost, in tokens.
-func (s *Scheduler) dearest(pool string, tier request.Tier) int {
+// maxLowerCost returns the most tokens that any lower run has computed.
+func (s *Scheduler) maxLowerCost(pool string, tier request.Tier) int {
 	most := 0
 	for _, t := range s.pools[pool] {
 		for _, r := range t.runs {
 			if tier.Above(r.offer.Tier) && r.repeatable() && !r.preempting {
-				most = max(most, t.computed(r))
+				most = max(most, t.computedTokens(r))
 			}
 		}
 	}
 	return most
 }
 
-// dearFactor times what a request brings is what a lower run may have cost to be
-// cancelled for it, if the request's first token alone would be late.
-const dearFactor = 4
+// expensiveFactor limits the cost of a lower run that is cancelled for a request
+// of which only the first token would be late, as a multiple of the request's
+// own tokens.
+const expensiveFactor = 4
 
-func spared(late bool, need message.Offer) int {
+func maxPreemptionCost(late bool, need message.Offer) int {
 	if !late {
 		return 0
 	}
-	return dearFactor * (need.PromptTokens + need.MaxTokens)
+	return expensiveFactor * (need.PromptTokens + need.MaxTokens)
 }
 
-// preempting counts the runs that are being cut.
-func (t *target) preempting() int {
+// preemptingRuns returns the number of runs that are being cancelled.
+func (t *target) preemptingRuns() int {
 	n := 0
 	for _, r := range t.runs {
 		if r.preempting {
--- a/internal/core/scheduler/early.go
+++ b/internal/core/scheduler/early.go
@@ -6,31 +6,34 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// maxEarly bounds the full reports remembered for targets not placed here yet.
-const maxEarly = 4096
+// maxFullReports bounds the full reports stored for targets that are not assigned
+// to this scheduler yet.
+const maxFullReports = 4096
 
-// earlyFull are the full reports that came before their targets were placed
-// here. Members see a change at different instants, and each reports once; were
-// a report forgotten that came first, the takeover would wait its whole time.
-type earlyFull map[fullKey]time.Time
+// fullReportBuffer holds the times of full reports that arrived before their
+// targets were assigned to this scheduler. Members see a change at different
+// times and report once each. If an early report were dropped, the takeover
+// would last for its full wait.
+type fullReportBuffer map[fullReportKey]time.Time
 
-type fullKey struct {
+type fullReportKey struct {
 	from   ident.Incarnation
 	target string
 }
 
-func (e earlyFull) add(s *Scheduler, from ident.Incarnation, moved []string) {
+func (e fullReportBuffer) add(s *Scheduler, from ident.Incarnation, moved []string) {
 	for _, name := range moved {
-		if s.targets[name] == nil && len(e) < maxEarly {
-			e[fullKey{from, name}] = s.now
+		if s.targets[name] == nil && len(e) < maxFullReports {
+			e[fullReportKey{from, name}] = s.now
 		}
 	}
 }
 
-// apply takes the members off that reported on a target before it was placed.
-func (e earlyFull) apply(s *Scheduler, t *target) {
+// apply removes from a target's awaited members those that reported on it before
+// it was assigned to this scheduler.
+func (e fullReportBuffer) apply(s *Scheduler, t *target) {
 	for key, at := range e {
-		if s.now.Sub(at) > s.set.Silence {
+		if s.now.Sub(at) > s.settings.Silence {
 			delete(e, key)
 			continue
 		}
@@ -41,16 +44,16 @@
 	}
 }
 
-// lateReports remembers for a while which runs have ended. Failure: an owner's
-// report on a run is overtaken by the word on its end. Symptom: the run counts
-// again and holds its place until its deadline. The silence limit suffices: a
-// link that holds a message for longer counts as broken.
-type lateReports struct {
+// endedRuns records for a while which runs have ended. Without it, an owner's
+// report on a run that arrives after the run's Done would count the run again,
+// and it would occupy a slot until its deadline. The failure-detection timeout
+// is long enough: a link that delays a message for longer counts as broken.
+type endedRuns struct {
 	ended map[ident.RequestID]time.Time
 	order []ident.RequestID
 }
 
-func (l *lateReports) end(now time.Time, id ident.RequestID, keep time.Duration) {
+func (l *endedRuns) end(now time.Time, id ident.RequestID, keep time.Duration) {
 	if l.ended == nil {
 		l.ended = make(map[ident.RequestID]time.Time)
 	}
@@ -64,15 +67,15 @@
 	l.ended[id] = now
 }
 
-// begin says that an id may run again: the target had not taken it.
-func (l *lateReports) begin(id ident.RequestID) {
+// begin records that an id may run again, since the target did not admit it.
+func (l *endedRuns) begin(id ident.RequestID) {
 	if _, known := l.ended[id]; known {
 		l.ended[id] = time.Time{}
 	}
 }
 
-// over reports whether a run is known to have ended.
-func (l *lateReports) over(now time.Time, id ident.RequestID, keep time.Duration) bool {
+// contains reports whether a run is known to have ended.
+func (l *endedRuns) contains(now time.Time, id ident.RequestID, keep time.Duration) bool {
 	at, known := l.ended[id]
 	return known && now.Sub(at) <= keep
 }
--- a/internal/core/scheduler/estimate.go
+++ b/internal/core/scheduler/estimate.go
@@ -7,10 +7,10 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// figures estimates from the document's figures alone.
-type figures struct{ target *target }
+// staticEstimator estimates from the document's figures alone.
+type staticEstimator struct{ target *target }
 
-func (f *figures) FirstToken(prompt, cached, queuedPrefill, _ int) time.Duration {
+func (f *staticEstimator) FirstToken(prompt, cached, queuedPrefill, _ int) time.Duration {
 	step := f.target.desc.StepTime
 	rate := f.target.desc.PrefillRate
 	if rate <= 0 {
@@ -20,33 +20,33 @@
 	return time.Duration(float64(tokens)/rate*float64(time.Second)) + step
 }
 
-func (f *figures) Total(prompt, cached, maxTokens, queuedPrefill, inFlight int) time.Duration {
+func (f *staticEstimator) Total(prompt, cached, maxTokens, queuedPrefill, inFlight int) time.Duration {
 	first := f.FirstToken(prompt, cached, queuedPrefill, inFlight)
 	return first + time.Duration(maxTokens)*f.target.desc.StepTime
 }
 
-func (f *figures) Limit() int                        { return 0 }
-func (f *figures) Straggler() bool                   { return false }
-func (f *figures) Observe(time.Time, message.Sample) {}
+func (f *staticEstimator) Limit() int                        { return 0 }
+func (f *staticEstimator) Straggler() bool                   { return false }
+func (f *staticEstimator) Observe(time.Time, message.Sample) {}
 
 // occupancyGain is the weight of a new observation of the occupancy ratio.
 const occupancyGain = 0.05
 
-// load is what a request starts beside: prompt tokens not yet computed, and
-// requests in flight.
+// load is the load of a target when a request starts: prompt tokens not yet
+// computed, and requests in flight.
 type load struct {
 	prefill  int
 	inFlight int
 }
 
-// loadAfter is the present load after a while: the prompts that are being
-// computed now will be done by then.
+// loadAfter estimates the load after a wait, during which the prompts that are
+// being computed now progress.
 func (t *target) loadAfter(wait time.Duration) load {
 	l := load{prefill: t.backlog() + int(t.pending.long*(1/prefillShare-1)), inFlight: len(t.runs)}
 	if wait <= 0 || l.prefill == 0 {
 		return l
 	}
-	drain := t.est.FirstToken(l.prefill, 0, 0, l.inFlight)
+	drain := t.estimator.FirstToken(l.prefill, 0, 0, l.inFlight)
 	if wait >= drain {
 		l.prefill = 0
 		return l
@@ -55,72 +55,74 @@
 	return l
 }
 
-// loadWithout is the present load without a run that is to be cancelled.
+// loadWithout returns the current load without a run that is to be cancelled.
 func (t *target) loadWithout(r *run) load {
 	l := load{prefill: t.prefill, inFlight: len(t.runs) - 1}
 	if r.prefilling {
-		l.prefill = max(0, l.prefill-r.work)
+		l.prefill = max(0, l.prefill-r.uncachedPrompt)
 	}
 	return l
 }
 
-// late reports whether an offer that starts after wait misses a deadline.
-func (t *target) late(o *offer, wait time.Duration) bool {
-	if !t.set.Early {
+// missesDeadline reports whether an offer that starts after wait misses one of
+// its deadlines.
+func (t *target) missesDeadline(o *offer, wait time.Duration) bool {
+	if !t.settings.Early {
 		return false
 	}
-	return t.lateBeside(o, wait, t.loadAfter(wait))
+	return t.missesDeadlineWith(o, wait, t.loadAfter(wait))
 }
 
-func (t *target) lateBeside(o *offer, wait time.Duration, l load) bool {
-	if !t.set.Early {
+func (t *target) missesDeadlineWith(o *offer, wait time.Duration, l load) bool {
+	if !t.settings.Early {
 		return false
 	}
 	start := t.clock.Add(wait)
-	total := t.est.Total(o.Prompt, 0, o.msg.MaxTokens, l.prefill, l.inFlight)
+	total := t.estimator.Total(o.Prompt, 0, o.msg.MaxTokens, l.prefill, l.inFlight)
 	if start.Add(total).After(o.deadline) {
 		return true
 	}
-	if o.firstBy.IsZero() {
+	if o.firstTokenBy.IsZero() {
 		return false
 	}
-	first := t.est.FirstToken(o.Prompt, 0, l.prefill, l.inFlight)
-	return start.Add(first).After(o.firstBy)
+	first := t.estimator.FirstToken(o.Prompt, 0, l.prefill, l.inFlight)
+	return start.Add(first).After(o.firstTokenBy)
 }
 
-// latestStart is the last instant at which an idle target could still meet the
-// offer's deadlines.
+// latestStart returns the latest start at which an idle target could still meet
+// the offer's deadlines.
 func (t *target) latestStart(o *offer) time.Time {
-	due := o.deadline.Add(-t.est.Total(o.Prompt, 0, o.msg.MaxTokens, 0, 0))
-	if o.firstBy.IsZero() {
+	due := o.deadline.Add(-t.estimator.Total(o.Prompt, 0, o.msg.MaxTokens, 0, 0))
+	if o.firstTokenBy.IsZero() {
 		return due
 	}
-	first := o.firstBy.Add(-t.est.FirstToken(o.Prompt, 0, 0, 0))
+	first := o.firstTokenBy.Add(-t.estimator.FirstToken(o.Prompt, 0, 0, 0))
 	if first.Before(due) {
 		return first
 	}
 	return due
 }
 
-// wait estimates how long a newcomer waits for a place.
+// wait estimates how long a new offer waits for a slot.
 func (t *target) wait(o *offer) time.Duration {
 	return t.waitBehind(t.queue.Ahead(o.Tier, o.Organisation, o.Due), o.service)
 }
 
-// waitBehind estimates the wait of an offer behind others: places become free
-// one by one, spread evenly over the mean time that a run holds its place.
+// waitBehind estimates the wait of an offer behind others. It assumes that slots
+// become free one by one, evenly spread over the mean time that a run occupies
+// its slot.
 func (t *target) waitBehind(ahead int, own time.Duration) time.Duration {
 	limit := t.limit()
 	free := limit - len(t.runs)
 	if ahead < free {
-		return t.opensIn()
+		return t.takeoverWait()
 	}
 	mean := own
 	if len(t.runs) > 0 {
-		mean = t.service / time.Duration(len(t.runs))
+		mean = t.totalService / time.Duration(len(t.runs))
 	}
 	mean = t.scaled(mean)
-	return t.opensIn() + mean*time.Duration(ahead-max(free, 0)+1)/time.Duration(limit)
+	return t.takeoverWait() + mean*time.Duration(ahead-max(free, 0)+1)/time.Duration(limit)
 }
 
 // lowestWait estimates the wait of a request of the lowest tier.
@@ -128,18 +130,19 @@
 	return t.waitBehind(t.queue.Len(), 0)
 }
 
-// scaled is the time in place that runs of an estimated time really take there.
+// scaled converts an estimated service time to the actual time in a slot.
 func (t *target) scaled(service time.Duration) time.Duration {
 	return time.Duration(float64(service) * t.occupancy)
 }
 
-// waits estimates the wait of a newcomer of each tier, behind all that waits of
-// its own tier and above; nil if nobody waits for a place.
-func (t *target) waits() []time.Duration {
+// waitsByTier estimates the wait of a new offer of each tier behind all waiting
+// offers of its own tier and above. It returns nil if there are no waiting
+// offers and a free slot.
+func (t *target) waitsByTier() []time.Duration {
 	if t.queue.Len() == 0 && len(t.runs) < t.limit() {
 		return nil
 	}
-	waits := make([]time.Duration, t.set.Tiers)
+	waits := make([]time.Duration, t.settings.Tiers)
 	for tier := range waits {
 		waits[tier] = t.waitBehind(t.queue.CountAbove(request.Tier(tier+1)), 0)
 	}
@@ -154,42 +157,42 @@
 	t.occupancy += occupancyGain * (ratio - t.occupancy)
 }
 
-// Sizes at which the speed that a digest tells of is read off the estimator.
+// Sizes for which speed queries the estimator.
 const (
 	probeTokens = 1000
 	probeSteps  = 100
 )
 
-// speed reads prefill rate and step time off the estimator.
+// speed derives the prefill rate and step time from the estimator.
 func (t *target) speed() (rate float64, step time.Duration) {
 	n := len(t.runs)
-	span := t.est.FirstToken(2*probeTokens, 0, 0, n) - t.est.FirstToken(probeTokens, 0, 0, n)
+	span := t.estimator.FirstToken(2*probeTokens, 0, 0, n) - t.estimator.FirstToken(probeTokens, 0, 0, n)
 	if span > 0 {
 		rate = probeTokens / span.Seconds()
 	}
-	step = (t.est.Total(0, 0, 2*probeSteps, 0, n) - t.est.Total(0, 0, probeSteps, 0, n)) / probeSteps
+	step = (t.estimator.Total(0, 0, 2*probeSteps, 0, n) - t.estimator.Total(0, 0, probeSteps, 0, n)) / probeSteps
 	return rate, step
 }
 
-// retryAfter tells a refused request when to come back. Each refusal takes the
-// next slot at the rate at which the target frees places, so that those who
-// were refused together do not come back together.
+// retryAfter returns the retry delay for a refused request. Successive refusals
+// are spaced at the rate at which the target frees slots, so that callers
+// refused together do not return together.
 func (s *Scheduler) retryAfter(t *target, tier request.Tier) time.Duration {
-	lo := s.set.RetryMin
-	hi := max(lo, s.set.RetryMax)
+	lo := s.settings.RetryMin
+	hi := max(lo, s.settings.RetryMax)
 	mean := lo
 	if len(t.runs) > 0 {
-		mean = time.Duration(float64(t.service) / float64(len(t.runs)) * t.occupancy)
+		mean = time.Duration(float64(t.totalService) / float64(len(t.runs)) * t.occupancy)
 	}
-	slot := max(mean/time.Duration(t.limit()), time.Millisecond)
+	interval := max(mean/time.Duration(t.limit()), time.Millisecond)
 	first := s.now.Add(max(lo, t.waitBehind(t.queue.Ahead(tier+1, "", s.now), 0)))
-	if t.returns.Before(first) {
-		t.returns = first
+	if t.lastRetryAt.Before(first) {
+		t.lastRetryAt = first
 	}
-	if t.returns.Before(s.now.Add(hi)) {
-		t.returns = t.returns.Add(slot)
+	if t.lastRetryAt.Before(s.now.Add(hi)) {
+		t.lastRetryAt = t.lastRetryAt.Add(interval)
 	}
-	after := t.returns.Sub(s.now) + s.jitter(slot)
+	after := t.lastRetryAt.Sub(s.now) + s.jitter(interval)
 	if after >= hi {
 		return hi/2 + s.jitter(hi/2)
 	}
--- a/internal/core/scheduler/holding.go
+++ b/internal/core/scheduler/holding.go
@@ -8,41 +8,43 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// holdKey names a holding.
-type holdKey struct {
+// heldKey identifies a held group.
+type heldKey struct {
 	pool string
 	tier request.Tier
 }
 
-func (k holdKey) compare(other holdKey) int {
+func (k heldKey) compare(other heldKey) int {
 	if k.tier != other.tier {
 		return int(k.tier) - int(other.tier)
 	}
 	return strings.Compare(k.pool, other.pool)
 }
 
-// holding is the offers that wait for the end of one exchange, so that many
-// refusals cost one.
-type holding struct {
-	key    holdKey
+// heldGroup is the offers of one pool and tier that wait for the end of one
+// exchange, so that many refusals require only one exchange.
+type heldGroup struct {
+	key    heldKey
 	offers []*offer
-	// need is the offer that the exchange asks room for.
+	// need is the offer for which the exchange requests capacity.
 	need *offer
-	// again is the earliest next exchange: lower work that can't be cancelled
-	// was left running, and its end is waited for.
-	again time.Time
-	// cut: the exchange had lower runs cancelled.
-	cut bool
-	// late: none of the offers whose time is over has to be refused yet.
-	late bool
-	// rest: no exchange before that, since the last one found only room that is
-	// too dear yet.
-	rest time.Time
-	// asking: with nobody else to ask, an exchange is over within the ask.
+	// nextExchange is the earliest start of the next exchange while a floor is in
+	// force: lower work that cannot be cancelled was left running.
+	nextExchange time.Time
+	// preemptsLower reports that the exchange has lower runs cancelled.
+	preemptsLower bool
+	// allowsLate reports that all expired offers can still be answered in full, if
+	// late, and need not be refused yet.
+	allowsLate bool
+	// backoffUntil delays the next exchange, since the last one found only
+	// capacity that is still too expensive.
+	backoffUntil time.Time
+	// asking guards against recursion: without other schedulers, an exchange ends
+	// within the call that starts it.
 	asking bool
 }
 
-func (h *holding) here(t *target) []*offer {
+func (h *heldGroup) offersAt(t *target) []*offer {
 	var list []*offer
 	for _, o := range h.offers {
 		if o.target == t {
@@ -52,13 +54,14 @@
 	return list
 }
 
-// pick is the offer that the next room goes to: the most urgent of those that
-// have time for the trip and for a run to be cancelled there.
+// pick returns the offer that receives the next capacity found: the most urgent
+// of those that have time for the trip and for a run to be cancelled there.
 //
-// Failure: the exchange asks for an offer whose time is all but over, finds no
-// room for it, and a floor is promised with lower work left. Symptom: offers
-// that had the time to take that work's place are refused under the floor.
-func (h *holding) pick(now time.Time, trip time.Duration) *offer {
+// If an exchange requested capacity for an offer that is about to expire, it
+// would find none, and a floor would be promised with lower work left. Offers
+// with enough time to take that work's slots would then be refused under the
+// floor.
+func (h *heldGroup) pick(now time.Time, trip time.Duration) *offer {
 	if slices.Contains(h.offers, h.need) {
 		return h.need
 	}
@@ -71,8 +74,9 @@
 	return first
 }
 
-// moreUrgent: of two that can still be helped the one due first, else the one
-// that has more time.
+// moreUrgent reports whether an offer takes precedence over another: if the
+// other can still be served after the given time, the offer due first, otherwise
+// the one with more time left.
 func (o *offer) moreUrgent(than *offer, after time.Time) bool {
 	if than.Due.Before(after) {
 		return o.Due.After(than.Due)
@@ -80,116 +84,118 @@
 	return o.Due.Before(than.Due) && !o.Due.Before(after)
 }
 
-// last reports whether an offer's time is over, so that it is refused as soon as
-// nothing lower runs any more.
-func (h *holding) last() bool {
-	return slices.ContainsFunc(h.offers, func(o *offer) bool { return o.doomed })
+// hasExpired reports whether the group has an expired offer, which is refused as
+// soon as no lower work runs any more.
+func (h *heldGroup) hasExpired() bool {
+	return slices.ContainsFunc(h.offers, func(o *offer) bool { return o.expired })
 }
 
-func (s *Scheduler) holdingFor(key holdKey) *holding {
-	h := s.holdings[key]
+func (s *Scheduler) heldGroupFor(key heldKey) *heldGroup {
+	h := s.held[key]
 	if h == nil {
-		h = &holding{key: key}
-		s.holdings[key] = h
-		at, _ := slices.BinarySearchFunc(s.holdKeys, key, holdKey.compare)
-		s.holdKeys = slices.Insert(s.holdKeys, at, key)
+		h = &heldGroup{key: key}
+		s.held[key] = h
+		at, _ := slices.BinarySearchFunc(s.heldKeys, key, heldKey.compare)
+		s.heldKeys = slices.Insert(s.heldKeys, at, key)
 	}
 	return h
 }
 
-// hold keeps an offer until the exchange for its tier ends. Own targets with
-// room come first, since they cost no message.
+// hold keeps an offer until the exchange for its tier ends. Capacity at this
+// scheduler's own targets is used first, since it requires no messages.
 func (s *Scheduler) hold(o *offer) {
-	if o.holding != nil {
+	if o.group != nil {
 		return
 	}
 	pool := o.target.desc.Pool
-	if room, _ := s.room(pool, o.current(s.now), o.target, roomByDisplacement); room != nil {
-		s.refuse(o, refusal{reason: o.reason, elsewhere: room.desc.Name})
+	if other, _ := s.findCapacity(pool, o.current(s.now), o.target, capacityByDisplacement); other != nil {
+		s.refuse(o, refusal{reason: o.reason, elsewhere: other.desc.Name})
 		return
 	}
-	h := s.holdingFor(holdKey{pool: pool, tier: o.Tier})
-	if len(h.offers) >= max(minHeld, s.set.QueuePerTarget) {
+	h := s.heldGroupFor(heldKey{pool: pool, tier: o.Tier})
+	if len(h.offers) >= max(minHeldLimit, s.settings.QueuePerTarget) {
 		s.refuse(o, refusal{reason: o.reason})
 		return
 	}
-	s.keep(o)
-	s.ask(h)
+	s.addHeld(o)
+	s.startExchange(h)
 }
 
-// keep puts an offer into its tier's holding.
-func (s *Scheduler) keep(o *offer) {
-	o.holding = s.holdingFor(holdKey{pool: o.target.desc.Pool, tier: o.Tier})
-	o.holding.offers = append(o.holding.offers, o)
+// addHeld adds an offer to the held group of its tier.
+func (s *Scheduler) addHeld(o *offer) {
+	o.group = s.heldGroupFor(heldKey{pool: o.target.desc.Pool, tier: o.Tier})
+	o.group.offers = append(o.group.offers, o)
 }
 
-// tripTime is allowed for an offer's way to another target and for the end of a
-// run that is cancelled there for it.
-func (s *Settings) tripTime() time.Duration { return s.Grant / tripPart }
+// tripTime is the time allowed for an offer to reach another target, and for the
+// end of a run that is cancelled there for it.
+func (s *Settings) tripTime() time.Duration { return s.Grant / tripDivisor }
 
-// tripPart of the grant time, which is several trips.
-const tripPart = 4
+// tripDivisor divides the grant time, which covers several trips.
+const tripDivisor = 4
 
-// release takes an offer out of its holding.
-func (s *Scheduler) release(o *offer) {
-	h := o.holding
+// unhold removes an offer from its held group.
+func (s *Scheduler) unhold(o *offer) {
+	h := o.group
 	if h == nil {
 		return
 	}
-	o.holding = nil
+	o.group = nil
 	h.offers = slices.DeleteFunc(h.offers, func(x *offer) bool { return x == o })
 	if h.need == o {
 		h.need = nil
 	}
 }
 
-// ask begins an exchange for a holding, unless one runs or it is too soon.
-func (s *Scheduler) ask(h *holding) {
+// startExchange starts an exchange for a held group, unless one is running or it
+// is too soon.
+func (s *Scheduler) startExchange(h *heldGroup) {
 	if len(h.offers) == 0 || h.asking || s.tooSoon(h) || s.floors.ExchangeRunning(h.key.pool, h.key.tier) {
 		return
 	}
-	// Failure: an exchange that ends within the ask and does not settle the offer
-	// asks again, without end. The next tick does.
+	// An exchange that ends within this call without settling the offer must not
+	// start the next one at once, which would recurse without end. The next tick
+	// starts it.
 	h.asking = true
 	defer func() { h.asking = false }()
-	h.need = h.pick(s.now, s.set.tripTime())
-	h.cut = h.last()
-	h.late = h.cut && h.mayBeLate(s)
+	h.need = h.pick(s.now, s.settings.tripTime())
+	h.preemptsLower = h.hasExpired()
+	h.allowsLate = h.preemptsLower && h.completableLate(s)
 	own := s.ownCandidate(h.need)
-	m, others, verdicts := s.floors.BeginWith(s.now, h.key.pool, h.key.tier, h.need.current(s.now), own)
-	m.Last, m.Late = h.cut, h.late
+	m, others, results := s.floors.BeginWith(s.now, h.key.pool, h.key.tier, h.need.current(s.now), own)
+	m.Last, m.Late = h.preemptsLower, h.allowsLate
 	for _, who := range others {
 		s.send(who, m)
 	}
-	s.verdicts(verdicts)
+	s.handleResults(results)
 }
 
-// tooSoon: the floor that the last exchange obtained still stands, so another
-// would bring nothing yet.
-func (s *Scheduler) tooSoon(h *holding) bool {
-	if !h.cut && h.last() {
+// tooSoon reports whether another exchange would gain nothing yet, since the
+// floor that the last one obtained is still in force or its capacity was too
+// expensive.
+func (s *Scheduler) tooSoon(h *heldGroup) bool {
+	if !h.preemptsLower && h.hasExpired() {
 		return false
 	}
-	if s.now.Before(h.rest) {
+	if s.now.Before(h.backoffUntil) {
 		return true
 	}
-	_, covered := s.floors.InForce(s.now, h.key.pool, h.key.tier)
-	return covered && s.now.Before(h.again)
+	_, inForce := s.floors.InForce(s.now, h.key.pool, h.key.tier)
+	return inForce && s.now.Before(h.nextExchange)
 }
 
-// retryHoldings begins the exchanges whose time has come, and forgets holdings
-// that nobody waits in.
-func (s *Scheduler) retryHoldings() {
-	for _, key := range slices.Clone(s.holdKeys) {
-		h := s.holdings[key]
+// retryHeld starts the exchanges that are due, and deletes empty held groups.
+func (s *Scheduler) retryHeld() {
+	for _, key := range slices.Clone(s.heldKeys) {
+		h := s.held[key]
 		if len(h.offers) > 0 {
-			s.ask(h)
+			s.startExchange(h)
 			continue
 		}
 		if s.tooSoon(h) || s.floors.ExchangeRunning(key.pool, key.tier) {
 			continue
 		}
-		delete(s.holdings, key)
-		s.holdKeys = slices.DeleteFunc(s.holdKeys, func(x holdKey) bool { return x == key })
+		delete(s.held, key)
+		s.heldKeys = slices.DeleteFunc(s.heldKeys, func(x heldKey) bool { return x == key })
 	}
 }
--- a/internal/core/scheduler/load_test.go
+++ b/internal/core/scheduler/load_test.go
@@ -4,12 +4,13 @@
 	. "github.com/onsi/ginkgo/v2"
 )
 
-var _ = Describe("room for work under load", func() {
-	// A tier 0 request can't be in time even if the lower run were cut, so a floor
-	// stands with that run left. A tier 1 request has the time, but may not join
-	// the queue under the floor. With no other scheduler to ask, its exchange ends
-	// within the ask; asked for again at once, that went on until the stack ended.
-	It("ends an exchange with nobody to ask that settles nothing", func() {
+var _ = Describe("capacity under load", func() {
+	// A tier 0 request can't meet its deadline even if the lower run is cancelled,
+	// so a floor is in force with that run left. A tier 1 request has the time, but
+	// may not join the queue under the floor. Without other schedulers its exchange
+	// ends within the call that starts it. Starting the next one at once recurses
+	// until the stack overflows.
+	It("ends an exchange without other schedulers that settles nothing", func() {
 		newCluster(testSettings(), "a: t/2").run(`
 a offer q0 t tier=0 once prompt=9000 => grant q0
 a offer r1 t tier=2 prompt=50        => grant r1
@@ -18,9 +19,9 @@
 a offer r3 t tier=1 for=60s final    => queued r3`)
 	})
 
-	// The neighbour has a free place, this target only a lower run to cut. The
-	// request is sent on and nothing is cut.
-	It("takes a free place elsewhere before it cuts a run", func() {
+	// The other scheduler has a free slot, while this target would have to preempt
+	// a lower run. The request is redirected and nothing is preempted.
+	It("prefers a free slot elsewhere to preemption", func() {
 		newCluster(testSettings(), "a: t/1", "b: u/1").run(`
 a offer r1 t tier=2 prompt=3000 => grant r1
 a running r1 t tier=2 prompt=3000 started =>
@@ -28,9 +29,9 @@
 b offer r2 u tier=0 => grant r2`)
 	})
 
-	// No place is free anywhere. Of the two lower runs the one that has cost less
-	// is cut, the neighbour's or the own one.
-	It("cuts the run of the pool that has cost least", func() {
+	// There is no free slot. Of the two lower runs, one at each scheduler, the one
+	// that has computed fewer tokens is preempted.
+	It("preempts the cheapest run of the pool", func() {
 		newCluster(testSettings(), "a: t/1", "b: u/1").run(`
 a offer r1 t tier=2 prompt=3000 => grant r1
 a running r1 t tier=2 prompt=3000 started =>
@@ -48,10 +49,10 @@
 a done r1 t => grant r2`)
 	})
 
-	// The only run that may be cut has cost much more than the request brings, and
-	// another's end is near. The request waits for that; at its last moment the
-	// run would be cut.
-	It("does not cut a dear run where a place may come free", func() {
+	// The only preemptible run has computed many more tokens than the request needs,
+	// and another run is about to end. The request waits for that end, and preempts
+	// only at its last moment.
+	It("does not preempt an expensive run if a slot may become free", func() {
 		script := `
 a offer r1 t tier=2 prompt=3000 => grant r1
 a running r1 t tier=2 prompt=3000 started =>
@@ -63,9 +64,10 @@
 		newCluster(testSettings(), "a: t/2").run(script + "wait 600ms =>\nwait 200ms => preempt r1")
 	})
 
-	// A short answer runs, and a brief would take the engine for 2.7 s beside it.
-	// With 2 s left the answer would come late, so the brief waits for its end.
-	It("holds a brief back while a running answer would come late", func() {
+	// A short request is running, and a long prompt would occupy the engine for 2.7 s
+	// beside it. With 2 s left the short answer would be late, so the long prompt
+	// waits for its end.
+	It("holds a long prompt back if it would make a running answer late", func() {
 		newCluster(testSettings(), "a: t/2").run(`
 a offer s1 t tier=0 prompt=100 for=2s  => grant s1
 a running s1 t tier=0 prompt=100 for=2s started =>
@@ -73,10 +75,11 @@
 a done s1 t                            => grant l1`)
 	})
 
-	// A call waits at a full target. A brief that began at the scheduler's other
-	// target would close that to calls as well, so it waits for the call's start.
-	// Where nothing runs it is not held: no event would come to start it.
-	It("holds a brief back while higher work waits at another target", func() {
+	// A short request waits at a full target. A long prompt started at the
+	// scheduler's other target would delay short requests there as well, so it waits
+	// until the short request has started. At an idle target it is not held back,
+	// since no event would start it.
+	It("holds a long prompt back while higher work waits at another target", func() {
 		script := `
 a offer s1 t tier=0 => grant s1
 a running s1 t tier=0 started =>
@@ -92,9 +95,9 @@
 a offer l1 u tier=1 prompt=9000 for=60s => grant l1`)
 	})
 
-	// Two briefs at once win nothing by each other, and a short request that comes
-	// meanwhile would wait for both.
-	It("computes one brief at a time where short requests come", func() {
+	// Two long prompts gain nothing from running at once, and a short request that
+	// arrives meanwhile would wait for both.
+	It("computes one long prompt at a time where short requests arrive", func() {
 		newCluster(testSettings(), "a: t/4").run(`
 a offer s1 t tier=0 prompt=100          => grant s1
 a done s1 t                             =>
@@ -103,12 +106,13 @@
 a running l1 t tier=1 prompt=1400 for=30s started => grant l2`)
 	})
 
-	// The target's one place is held by top work for longer than the request's
-	// first token allows. The neighbour computes top work too, so the request could
-	// not be in time there; beside it runs a brief that has cost far more than the
-	// request brings. A refusal would have to cut that brief, so the request waits
-	// on without its first token's bound and is answered late.
-	It("answers late rather than cut a dear brief for a refusal", func() {
+	// Top-tier work occupies the target's only slot for longer than the request's
+	// first-token deadline allows. The other scheduler's target computes top-tier
+	// work too, so the request could not be in time there; beside it runs a long
+	// prompt that has cost far more than the request. A refusal would require the
+	// cancellation of that run, so the request waits without its first-token
+	// deadline and is answered late.
+	It("answers late rather than preempt an expensive run for a refusal", func() {
 		newCluster(testSettings(), "a: t/1", "b: u/2").run(`
 a offer q0 t tier=0 once for=60s => grant q0
 a running q0 t tier=0 once for=60s started =>
@@ -121,8 +125,8 @@
 a done q0 t => grant r1`)
 	})
 
-	// The same beside a run that has cost little: it is cut before the refusal.
-	It("cuts a cheap run before it refuses", func() {
+	// The same beside a cheap run, which is preempted before the refusal.
+	It("preempts a cheap run before it refuses", func() {
 		newCluster(testSettings(), "a: t/1", "b: u/2").run(`
 a offer q0 t tier=0 once for=60s => grant q0
 a running q0 t tier=0 once for=60s started =>
--- a/internal/core/scheduler/lookup.go
+++ b/internal/core/scheduler/lookup.go
@@ -5,12 +5,12 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// RunOf finds the target at which a request runs, and the organisation that
+// RunOf returns the target at which a request runs and the organisation that
 // sent it.
 func (s *Scheduler) RunOf(id ident.RequestID) (target, organisation string, found bool) {
 	for name, t := range s.targets {
-		// A report of before a change of schedulers may name a second target; the
-		// choice must not depend on the order of a map.
+		// A report sent before a change of schedulers may name a second target. The
+		// choice must not depend on the map's iteration order.
 		if r := t.runs[id]; r != nil && (!found || name < target) {
 			target, organisation, found = name, r.offer.Organisation, true
 		}
@@ -18,7 +18,8 @@
 	return target, organisation, found
 }
 
-// Fingerprint identifies the request that runs at a target under an id.
+// Fingerprint returns the fingerprint of the request that runs at a target
+// under an id.
 func (s *Scheduler) Fingerprint(target string, id ident.RequestID) (request.Fingerprint, bool) {
 	t := s.targets[target]
 	if t == nil {
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -11,57 +11,58 @@
 )
 
 // offer is an offer that has neither been granted nor refused. It waits in the
-// target's queue, or in a holding for the end of an exchange, or in both.
+// target's queue, in a held group for the end of an exchange, or in both.
 type offer struct {
 	queue.Item
-	msg      message.Offer
-	from     ident.Incarnation
-	target   *target
-	asked    time.Time // when the latest ask was received
-	arrived  time.Time
-	deadline time.Time
-	firstBy  time.Time
-	service  time.Duration
-	// reason is what a refusal would say.
+	msg          message.Offer
+	from         ident.Incarnation
+	target       *target
+	refreshed    time.Time // when the latest refresh was received
+	arrived      time.Time
+	deadline     time.Time
+	firstTokenBy time.Time
+	service      time.Duration
+	// reason is the reason that a refusal would give.
 	reason outcome.Reason
-	// lastWord: a refusal here ends the request, so it needs a floor.
-	lastWord bool
-	// told: it was sent here since a run can be cancelled for it.
-	told bool
-	// doomed: its time is over, and it waits for lower runs to be cancelled
-	// before it is refused, until doomedBy.
-	doomed     bool
-	doomedBy   time.Time
-	preempting bool
-	stage      stage
-	holding    *holding
-	gone       bool
-	timer      timer
+	// final reports that a refusal here ends the request, and so requires a floor.
+	final bool
+	// preemptOnArrival reports that it was directed here because a run can be
+	// cancelled for it.
+	preemptOnArrival bool
+	// expired reports that it can no longer meet its deadline. Its refusal waits
+	// until expiredUntil for lower runs to be cancelled.
+	expired      bool
+	expiredUntil time.Time
+	preempting   bool
+	stage        stage
+	group        *heldGroup
+	removed      bool
+	timer        timer
 }
 
-// stage says how far the measures for an offer that runs out of time have come.
+// stage is the last measure taken for an offer that is running out of time.
 type stage uint8
 
 const (
 	stageWaiting stage = iota
-	stageAsked
+	stageExchanged
 	stagePreempted
 )
 
 func (s *Scheduler) newOffer(t *target, from ident.Incarnation, m message.Offer) *offer {
 	service := m.Kind == request.Service
 	o := &offer{
-		msg:      m,
-		from:     from,
-		target:   t,
-		asked:    s.now,
-		arrived:  s.now,
-		deadline: s.now.Add(m.Remaining),
-		lastWord: m.Final,
-		reason:   outcome.ReasonOverload,
+		msg:       m,
+		from:      from,
+		target:    t,
+		refreshed: s.now,
+		arrived:   s.now,
+		deadline:  s.now.Add(m.Remaining),
+		final:     m.Final,
+		reason:    outcome.ReasonOverload,
 	}
 	if m.FirstToken > 0 {
-		o.firstBy = s.now.Add(m.FirstToken)
+		o.firstTokenBy = s.now.Add(m.FirstToken)
 	}
 	o.Item = queue.Item{
 		ID:           m.ID,
@@ -74,66 +75,67 @@
 	if service {
 		o.Cost = request.ServiceCost
 	}
-	o.service = t.est.Total(o.Prompt, 0, m.MaxTokens, 0, len(t.runs))
+	o.service = t.estimator.Total(o.Prompt, 0, m.MaxTokens, 0, len(t.runs))
 	o.Due = t.latestStart(o)
 	return o
 }
 
-// current is the offer as its owner would send it now.
+// current returns the offer as its owner would send it now.
 func (o *offer) current(now time.Time) message.Offer {
 	m := o.msg
 	m.Remaining = o.deadline.Sub(now)
 	if m.FirstToken > 0 {
-		m.FirstToken = max(1, o.firstBy.Sub(now))
+		m.FirstToken = max(1, o.firstTokenBy.Sub(now))
 	}
 	return m
 }
 
-// Offer takes an offer, or refreshes one that is known by a newer Ask. It is
-// answered by Grant, Queued or Refuse, at once.
+// Offer accepts a new offer, or refreshes a known one that has a newer Ask. The
+// answer is an immediate Grant, Queued or Refuse.
 func (s *Scheduler) Offer(now time.Time, from ident.Incarnation, m message.Offer) []Effect {
-	s.tick(now)
+	s.advance(now)
 	t := s.targets[m.Target]
 	if t == nil {
 		s.send(from, message.Refuse{ID: m.ID, Target: m.Target, Reason: outcome.ReasonNone, Elsewhere: m.Target})
-		return s.take()
+		return s.takeEffects()
 	}
 	if r := t.runs[m.ID]; r != nil {
 		s.regrant(r, from, m)
-		return s.take()
+		return s.takeEffects()
 	}
 	if o := t.offers[m.ID]; o != nil {
 		s.refresh(o, from, m)
-		return s.take()
+		return s.takeEffects()
 	}
 	o := s.newOffer(t, from, m)
-	room, expected := t.rooms[m.ID]
+	reserved, expected := t.expectedOffers[m.ID]
 	if expected {
-		// It was sent here because we said that we have room, which may mean
-		// displacing or preempting; a plain refusal would send it round again.
-		o.lastWord = true
-		o.told = room.preempts
-		delete(t.rooms, m.ID)
+		// It was directed here because this scheduler reported capacity, which may
+		// require displacement or preemption. A plain refusal would make its owner
+		// try all targets again.
+		o.final = true
+		o.preemptOnArrival = reserved.preempts
+		delete(t.expectedOffers, m.ID)
 	}
 	t.offers[m.ID] = o
-	t.past.begin(m.ID)
+	t.endedRuns.begin(m.ID)
 	if o.Lane == queue.Short {
-		t.sawShort(o.Tier)
+		t.noteShort(o.Tier)
 	}
 	s.admit(o)
-	if o.told && !o.gone && o.Waiting() {
-		// The run that was to make room makes it now: it was counted on for this
-		// offer alone, and the next that asks would be told of it again.
+	if o.preemptOnArrival && !o.removed && o.Waiting() {
+		// Preempt the run now. It was reserved for this offer alone; otherwise the
+		// next request for capacity would be directed to the same run.
 		s.preempt(o)
 	}
-	if !o.gone {
-		s.timers.set(o, o.nextTime(s))
-		s.queued(o)
+	if !o.removed {
+		s.timers.set(o, o.nextTimer(s))
+		s.sendQueued(o)
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
-func (s *Scheduler) queued(o *offer) {
+func (s *Scheduler) sendQueued(o *offer) {
 	s.send(o.from, message.Queued{Ask: o.msg.Ask, ID: o.ID, Target: o.msg.Target, Wait: o.target.wait(o)})
 }
 
@@ -142,34 +144,34 @@
 		return
 	}
 	o.msg.Ask = m.Ask
-	o.asked = s.now
-	o.lastWord = o.lastWord || m.Final
-	s.timers.set(o, o.nextTime(s))
-	s.queued(o)
+	o.refreshed = s.now
+	o.final = o.final || m.Final
+	s.timers.set(o, o.nextTimer(s))
+	s.sendQueued(o)
 }
 
 // regrant answers a refresh that crossed its grant or whose grant was lost. A
-// run that was reported needs none. Below a floor, or while higher work waits,
-// the answer is put off until the former grant has lapsed and the refresh counts
+// reported run needs no answer. Below a floor, or while higher work waits,
+// there is no answer until the previous grant has expired and a refresh counts
 // as a new offer: the first grant may have been lost, and a new one would let
-// this request pass the higher one.
+// this request overtake the higher one.
 func (s *Scheduler) regrant(r *run, from ident.Incarnation, m message.Offer) {
 	if from != r.from || m.Ask <= r.offer.Ask || r.reported || r.preempting {
 		return
 	}
-	if s.lowestGranted(r.target).Above(r.offer.Tier) || r.target.queue.CountAbove(r.offer.Tier) > 0 {
+	if s.lowestGrantable(r.target).Above(r.offer.Tier) || r.target.queue.CountAbove(r.offer.Tier) > 0 {
 		return
 	}
 	r.offer.Ask = m.Ask
 	s.sendGrant(r, s.now)
 }
 
-// Withdraw takes an offer back, or gives an unused grant back.
+// Withdraw removes an offer, or releases an unused grant.
 func (s *Scheduler) Withdraw(now time.Time, from ident.Incarnation, w message.Withdraw) []Effect {
-	s.tick(now)
+	s.advance(now)
 	t := s.targets[w.Target]
 	if t == nil {
-		return s.take()
+		return s.takeEffects()
 	}
 	if o := t.offers[w.ID]; o != nil && o.from == from {
 		s.remove(o)
@@ -178,10 +180,10 @@
 		t.endRun(r)
 	}
 	s.fill(t)
-	return s.take()
+	return s.takeEffects()
 }
 
-// admit decides on an offer that has just come.
+// admit queues, holds or refuses a new offer.
 func (s *Scheduler) admit(o *offer) {
 	t := o.target
 	switch {
@@ -189,9 +191,9 @@
 		s.refuse(o, refusal{reason: outcome.ReasonNoTarget})
 	case o.msg.Remaining <= 0:
 		s.refuse(o, refusal{reason: outcome.ReasonDeadlinePassed, settled: true})
-	case s.set.Early && o.Due.Before(s.now):
-		// Not even an idle target could be in time: no floor would help.
-		s.refuse(o, refusal{reason: outcome.ReasonDeadline, settled: o.lastWord})
+	case s.settings.Early && o.Due.Before(s.now):
+		// Not even an idle target could meet the deadline, so a floor would not help.
+		s.refuse(o, refusal{reason: outcome.ReasonDeadline, settled: o.final})
 	case !s.quorum && o.Tier > topTier:
 		s.refuseForLoad(o, outcome.ReasonNotReady)
 	case !s.admissible(o):
@@ -201,7 +203,7 @@
 	}
 }
 
-// admissible reports whether floors let the offer in.
+// admissible reports whether the floors in force admit the offer.
 func (s *Scheduler) admissible(o *offer) bool {
 	a := s.floors.Admission(s.now, o.target.desc.Pool)
 	if a.Floor.Above(o.Tier) {
@@ -213,61 +215,64 @@
 	return o.target.queue.Len() == 0 && len(o.target.runs) < o.target.limit()
 }
 
-// enqueue puts the offer into the queue, grants what can be granted, and then
-// brings the queue back to its bound.
+// enqueue adds the offer to the queue, grants what can be granted, and then
+// reduces the queue to its bound.
 func (s *Scheduler) enqueue(o *offer) {
 	t := o.target
-	if t.late(o, t.wait(o)) && !(o.told && s.preempt(o)) {
+	if t.missesDeadline(o, t.wait(o)) && !(o.preemptOnArrival && s.preempt(o)) {
 		s.refuseForLoad(o, outcome.ReasonOverload)
 		return
 	}
 	t.queue.Push(&o.Item)
 	s.fill(t)
-	s.easeQueue(o)
-	if !o.gone && t.queue.Len() > max(1, s.set.QueuePerTarget) {
+	s.preemptForQueue(o)
+	if !o.removed && t.queue.Len() > max(1, s.settings.QueuePerTarget) {
 		s.shedOne(o)
 	}
 }
 
-// giveUp is when the offer cannot be met any more.
-func (o *offer) giveUp(s *Scheduler) time.Time {
-	if o.doomed {
-		return o.doomedBy
+// expiresAt returns when the offer can no longer be served in time.
+func (o *offer) expiresAt(s *Scheduler) time.Time {
+	if o.expired {
+		return o.expiredUntil
 	}
-	if s.set.Early {
+	if s.settings.Early {
 		return o.Due
 	}
 	return o.deadline
 }
 
-// askAt leaves time for an exchange with a silent member before giving up.
-func (o *offer) askAt(s *Scheduler) time.Time {
-	end := o.giveUp(s)
+// exchangeAt returns when to start an exchange. It leaves time for the timeout
+// of an unresponsive member before the offer expires.
+func (o *offer) exchangeAt(s *Scheduler) time.Time {
+	end := o.expiresAt(s)
 	return end.Add(-min(s.floors.ReplyTimeout(), end.Sub(o.arrived)/2))
 }
 
-// preemptAt leaves time for a run to be cancelled before giving up.
+// preemptAt returns when to preempt. It leaves time for a run to be cancelled
+// before the offer expires.
 func (o *offer) preemptAt(s *Scheduler) time.Time {
-	end := o.giveUp(s)
-	return end.Add(-min(s.set.Grant, end.Sub(o.arrived)/2))
+	end := o.expiresAt(s)
+	return end.Add(-min(s.settings.Grant, end.Sub(o.arrived)/2))
 }
 
-// costlyAt is when a run that has cost more than the offer brings is cancelled.
-func (o *offer) costlyAt(s *Scheduler) time.Time {
-	end := o.giveUp(s)
-	return end.Add(-max(s.set.tripTime(), min(s.set.Grant, end.Sub(o.arrived)/8)))
+// expensivePreemptAt returns when to cancel even a run that has computed more
+// tokens than the offer requests.
+func (o *offer) expensivePreemptAt(s *Scheduler) time.Time {
+	end := o.expiresAt(s)
+	return end.Add(-max(s.settings.tripTime(), min(s.settings.Grant, end.Sub(o.arrived)/8)))
 }
 
-func (o *offer) nextTime(s *Scheduler) time.Time {
-	next := o.giveUp(s)
+func (o *offer) nextTimer(s *Scheduler) time.Time {
+	next := o.expiresAt(s)
 	if o.stage < stagePreempted {
 		next = earliest(next, o.preemptAt(s))
 	}
-	if o.stage < stageAsked {
-		next = earliest(next, o.askAt(s))
+	if o.stage < stageExchanged {
+		next = earliest(next, o.exchangeAt(s))
 	}
 	if o.from != s.self {
-		next = earliest(next, o.asked.Add(s.set.Silence))
+		next = earliest(next, o.refreshed.Add(s.settings.Silence))
 	}
 	return next
 }
@@ -281,97 +286,99 @@
 
 func (o *offer) timerOf() *timer { return &o.timer }
 
-// fire takes the measures that an offer's age calls for.
+// fire takes the measure that is due at the offer's age.
 func (o *offer) fire(s *Scheduler) time.Time {
 	switch {
-	case o.gone:
+	case o.removed:
 		return time.Time{}
-	case o.from != s.self && s.now.Sub(o.asked) >= s.set.Silence:
-		// Its owner does not refresh it: it died, was cut off, or has lost it.
-		// Granting a place to it would leave the place empty until the lapse.
+	case o.from != s.self && s.now.Sub(o.refreshed) >= s.settings.Silence:
+		// Its owner does not refresh it: the owner has terminated, is partitioned or
+		// has lost the offer. A slot granted to it would stay empty until the grant
+		// expires.
 		s.remove(o)
-	case !s.now.Before(o.giveUp(s)):
+	case !s.now.Before(o.expiresAt(s)):
 		s.expire(o)
 	case o.stage < stagePreempted && !s.now.Before(o.preemptAt(s)):
 		o.stage = stagePreempted
-		s.preemptOrAsk(o)
-	case o.stage < stageAsked && !s.now.Before(o.askAt(s)):
-		o.stage = stageAsked
-		s.askInTime(o)
+		s.preemptOrHold(o)
+	case o.stage < stageExchanged && !s.now.Before(o.exchangeAt(s)):
+		o.stage = stageExchanged
+		s.exchangeInTime(o)
 	}
-	if o.gone {
+	if o.removed {
 		return time.Time{}
 	}
-	return o.nextTime(s)
+	return o.nextTimer(s)
 }
 
-// expire refuses an offer whose time has run out.
+// expire refuses an offer that can no longer be served in time.
 func (s *Scheduler) expire(o *offer) {
-	_, covered := s.floors.InForce(s.now, o.target.desc.Pool, o.Tier)
-	standing := s.floors.MayRefuse(s.now, o.target.desc.Pool, o.Tier)
-	if s.quorum && !standing && s.set.Preempt && !o.doomed {
-		// No trip of its owner helps any more.
-		o.lastWord = true
+	_, inForce := s.floors.InForce(s.now, o.target.desc.Pool, o.Tier)
+	mayRefuse := s.floors.MayRefuse(s.now, o.target.desc.Pool, o.Tier)
+	if s.quorum && !mayRefuse && s.settings.Preempt && !o.expired {
+		// There is no time left for its owner to try another target.
+		o.final = true
 		o.stage = stagePreempted
-		s.doom(o)
+		s.expireAfterPreemption(o)
 		return
 	}
-	if covered && s.quorum {
-		// Lower work that cannot be cancelled may still run: it has been
-		// waited for as long as the deadline allowed.
+	if inForce && s.quorum {
+		// Lower work that cannot be cancelled may still run: the offer has waited
+		// for its end as long as the deadline allowed.
 		s.refuse(o, refusal{reason: o.reason, settled: true})
 		return
 	}
-	s.refuse(o, refusal{reason: outcome.ReasonDeadline, settled: o.lastWord})
+	s.refuse(o, refusal{reason: outcome.ReasonDeadline, settled: o.final})
 }
 
-// askInTime begins the exchange early enough to end before the offer's time
-// does, unless the offer will be served or can get a place by preemption.
-func (s *Scheduler) askInTime(o *offer) {
-	if !o.Waiting() || !o.target.late(o, o.target.wait(o)) || s.victim(o.target, o.Tier) != nil {
+// exchangeInTime starts the exchange early enough to end before the offer
+// expires, unless the offer will be served or can obtain a slot by preemption.
+func (s *Scheduler) exchangeInTime(o *offer) {
+	if !o.Waiting() || !o.target.missesDeadline(o, o.target.wait(o)) || s.victim(o.target, o.Tier) != nil {
 		return
 	}
 	s.refuseOrHold(o)
 }
 
-// preemptOrAsk takes the last measures for a waiting offer. Its owner would
-// hardly have the time to try other targets any more, so we ask for it; were it
-// sent round instead, its time could end before anyone had asked whether lower
-// work is served elsewhere.
-func (s *Scheduler) preemptOrAsk(o *offer) {
-	if !o.Waiting() || o.preempting || o.holding != nil && s.preemptWorth(o) {
+// preemptOrHold takes the last measures for a waiting offer. Its owner has
+// hardly any time left to try other targets, so this scheduler starts the
+// exchange for it. If the owner tried other targets instead, the offer could
+// expire before any scheduler had checked whether lower work is served
+// elsewhere.
+func (s *Scheduler) preemptOrHold(o *offer) {
+	if !o.Waiting() || o.preempting || o.group != nil && s.preemptIfWorthwhile(o) {
 		return
 	}
-	o.lastWord = true
+	o.final = true
 	s.hold(o)
 }
 
-// refuseOrHold sends the owner of a waiting offer on to other targets, or asks
-// the other schedulers while the offer keeps its place in the queue.
+// refuseOrHold refuses a waiting offer so that its owner tries other targets,
+// or asks the other schedulers while the offer keeps its position in the queue.
 func (s *Scheduler) refuseOrHold(o *offer) {
-	if !s.isLast(o) {
+	if !s.isFinal(o) {
 		s.refuse(o, refusal{reason: o.reason})
 		return
 	}
 	s.hold(o)
 }
 
-// isLast reports whether a refusal here would end the request: the owner has
-// no other target, or no time for one. The grant's time bounds a trip between
-// entries; sent round with less, a request ran out of time on its way before
-// anyone had asked whether lower work is served in its stead.
-func (s *Scheduler) isLast(o *offer) bool {
-	if o.giveUp(s).Sub(s.now) <= s.set.Grant {
-		o.lastWord = true
-	}
-	return o.lastWord
+// isFinal reports whether a refusal here would end the request: the owner has
+// no other target, or no time to try one. The grant time bounds a round trip
+// between entries. A request redirected with less time left could expire on
+// its way before any scheduler had checked whether lower work is served instead.
+func (s *Scheduler) isFinal(o *offer) bool {
+	if o.expiresAt(s).Sub(s.now) <= s.settings.Grant {
+		o.final = true
+	}
+	return o.final
 }
 
-// remove forgets an offer without an answer.
+// remove deletes an offer without an answer.
 func (s *Scheduler) remove(o *offer) {
-	o.gone = true
+	o.removed = true
 	o.target.queue.Remove(&o.Item)
-	s.release(o)
+	s.unhold(o)
 	delete(o.target.offers, o.ID)
 	s.timers.set(o, time.Time{})
 }
--- a/internal/core/scheduler/prefill.go
+++ b/internal/core/scheduler/prefill.go
@@ -8,56 +8,59 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// prefillShare is the part of an engine's time that goes to prompts while some
-// are computed; the rest goes to the streams that decode beside them.
+// prefillShare is the share of an engine's time spent on prompts while any are
+// being computed; the rest goes to the streams that decode beside them.
 const prefillShare = 0.75
 
-// leastStepPart: a step time of which less than this part is left once the
-// prompts computed beside it are taken off says nothing of the engine's steps.
-const leastStepPart = 0.25
+// minStepShare is the least share of a measured step time that must remain after
+// the time for prompts computed beside it is subtracted. With less, the sample
+// is no measure of the engine's steps.
+const minStepShare = 0.25
 
-// prefillBacklog follows the prompt tokens of a target that are granted and not
-// computed, between the reports of first tokens.
+// prefillBacklog estimates the prompt tokens of a target that are granted and
+// not yet computed, between the reports of first tokens.
 type prefillBacklog struct {
 	tokens float64
-	// long is the part of tokens that is of long prompts, spent what was computed
-	// of those so far.
-	long, spent float64
-	at          time.Time
+	// long is the part of tokens that belongs to long prompts; longComputed is the
+	// total of long prompts' tokens computed so far.
+	long, longComputed float64
+	at                 time.Time
 }
 
-// hitGain is the weight of a new observation of the cached part.
-const hitGain = 0.05
+// cachedShareGain is the weight of a new observation of the cached share.
+const cachedShareGain = 0.05
 
-// hitKey is a sort of request; those of one tier and lane mostly share prefixes.
-type hitKey struct {
+// requestClass groups requests that mostly share prefixes: those of one tier and
+// lane.
+type requestClass struct {
 	tier request.Tier
 	lane queue.Lane
 }
 
-// cached is the part of an offer's prompt, in tokens, that is expected in the
-// target's cache, by what requests of its sort found there.
+// cached returns how many of an offer's prompt tokens are expected in the
+// target's cache, based on previous requests of its class.
 func (t *target) cached(m message.Offer) int {
 	lane := t.lane(m.PromptTokens, m.Alone, m.Kind == request.Service)
-	return int(t.hits[hitKey{m.Tier, lane}] * float64(m.PromptTokens))
+	return int(t.cachedShare[requestClass{m.Tier, lane}] * float64(m.PromptTokens))
 }
 
 func (t *target) learnCached(r *run, s message.Sample) {
 	if s.FirstToken <= 0 || s.PromptTokens <= 0 {
 		return
 	}
-	key := hitKey{r.offer.Tier, r.lane}
-	t.hits[key] += hitGain * (float64(s.CachedTokens)/float64(s.PromptTokens) - t.hits[key])
+	key := requestClass{r.offer.Tier, r.lane}
+	t.cachedShare[key] += cachedShareGain * (float64(s.CachedTokens)/float64(s.PromptTokens) - t.cachedShare[key])
 }
 
-// backlog is the prompt tokens that are granted and, by estimate, not computed.
+// backlog returns the estimated prompt tokens that are granted and not yet
+// computed.
 func (t *target) backlog() int {
-	t.drain()
+	t.advanceBacklog()
 	return int(t.pending.tokens)
 }
 
-// drain takes off what was computed since the last look.
-func (t *target) drain() {
+// advanceBacklog subtracts the tokens computed since its last call.
+func (t *target) advanceBacklog() {
 	p := &t.pending
 	elapsed := t.clock.Sub(p.at).Seconds()
 	p.at = *t.clock
@@ -69,57 +72,59 @@
 	long := done * p.long / p.tokens
 	p.tokens -= done
 	p.long -= long
-	p.spent += long
+	p.longComputed += long
 }
 
 func (t *target) addBacklog(r *run) {
-	t.drain()
-	t.pending.tokens += float64(r.work)
+	t.advanceBacklog()
+	t.pending.tokens += float64(r.uncachedPrompt)
 	if r.lane == queue.Long {
-		t.pending.long += float64(r.work)
+		t.pending.long += float64(r.uncachedPrompt)
 	}
 }
 
-// clampBacklog holds the estimate to what can be left at most.
+// clampBacklog limits the estimate to the prompt tokens still counted.
 func (t *target) clampBacklog() {
-	t.drain()
+	t.advanceBacklog()
 	p := &t.pending
 	p.tokens = min(p.tokens, float64(t.prefill))
 	if most := float64(t.prefillLong); p.long > most {
-		p.spent += p.long - most
+		p.longComputed += p.long - most
 		p.long = most
 	}
 }
 
-// ownSteps takes the time for others' long prompts off a run's step time. Short
-// ones come steadily, so what they take is part of the step.
+// subtractLongPrefill subtracts the time for other runs' long prompts from a
+// run's step time. Short prompts arrive steadily, so their time remains part of
+// the step.
 //
-// Failure: an engine computes a brief in chunks, a step each, so the streams
-// beside it get their tokens late. Symptom: learned as the engine's step time
-// that makes it a straggler, and its limit falls to one place.
-func (t *target) ownSteps(r *run, s *message.Sample) {
+// An engine computes a long prompt in chunks, one per step, which delays the
+// tokens of the streams beside it. Learned as the engine's step time, that delay
+// would make the engine a straggler and reduce its limit to one slot.
+func (t *target) subtractLongPrefill(r *run, s *message.Sample) {
 	rate, _ := t.speed()
 	if rate <= 0 || s.Tokens <= 0 || s.StepTime <= 0 {
 		return
 	}
-	t.drain()
-	beside := seconds((t.pending.spent - r.spentBefore) / rate)
+	t.advanceBacklog()
+	beside := seconds((t.pending.longComputed - r.longComputedBefore) / rate)
 	step := s.StepTime - beside/time.Duration(s.Tokens)
-	if float64(step) < leastStepPart*float64(s.StepTime) {
+	if float64(step) < minStepShare*float64(s.StepTime) {
 		step = 0
 	}
 	s.StepTime = step
 }
 
-// putOff moves the probable ends of what runs: the streams wait while a long
-// prompt is computed beside them.
-func (t *target) putOff(span time.Duration) {
+// delayRuns postpones the expected ends of the current runs, whose streams wait
+// while a long prompt is computed beside them.
+func (t *target) delayRuns(span time.Duration) {
 	for _, r := range t.runs {
-		r.end = r.end.Add(span)
+		r.expectedEnd = r.expectedEnd.Add(span)
 	}
 }
 
-// prefillTime is how long the engine computes prompts of so many tokens.
+// prefillTime returns how long the engine takes to compute prompts of the given
+// number of tokens.
 func (t *target) prefillTime(tokens int) time.Duration {
 	rate, _ := t.speed()
 	if rate <= 0 {
@@ -130,17 +135,17 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// delays reports whether the computation of a long prompt, begun now, would make
-// a run of its tier or a higher one miss its deadline.
+// causesDeadlineMiss reports whether the computation of a long prompt, begun
+// now, would make a run of its tier or a higher one miss its deadline.
 //
-// Failure: a brief's chunks take an engine's time from the streams beside it.
-// Symptom: short answers whose prompt is computed already are cut at their
-// deadline. Holding the brief back suffices: it waits for their end, or goes to
-// another target, and nothing has been computed for it.
-func (t *target) delays(it *queue.Item) bool {
+// The chunks of a long prompt take engine time from the streams beside it, so
+// short answers whose prompts are already computed would be cancelled at their
+// deadline. It suffices to hold the long prompt back: it waits for those answers
+// to end or goes to another target, and nothing has been computed for it.
+func (t *target) causesDeadlineMiss(it *queue.Item) bool {
 	extra := t.prefillTime(t.backlog() + it.Prompt)
 	for _, r := range t.runs {
-		if !it.Tier.Above(r.offer.Tier) && r.end.Add(extra).After(r.deadline) {
+		if !it.Tier.Above(r.offer.Tier) && r.expectedEnd.Add(extra).After(r.deadline) {
 			return true
 		}
 	}
--- a/internal/core/scheduler/promises_test.go
+++ b/internal/core/scheduler/promises_test.go
@@ -9,14 +9,15 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// floorSeen is a settled refusal: until then nothing below tier is granted.
+// floorSeen is the floor of a settled refusal: nothing below tier is granted
+// before until.
 type floorSeen struct {
 	tier  request.Tier
 	until time.Time
 }
 
-// take checks what a scheduler says, at the instant at which it says it.
-func (w *world) take(from ident.Incarnation, effects []Effect) {
+// checkEffects checks a scheduler's effects and posts their messages.
+func (w *world) checkEffects(from ident.Incarnation, effects []Effect) {
 	for _, e := range effects {
 		switch m := e.Message.(type) {
 		case message.Grant:
@@ -46,7 +47,7 @@
 
 func (w *world) checkRefusal(from ident.Incarnation, m message.Refuse) {
 	if m.Settled && m.Reason == outcome.ReasonDeadline {
-		w.checkTooLate(m)
+		w.checkDeadlineRefusal(m)
 	}
 	if !m.Settled || !m.Reason.Load() || m.Reason == outcome.ReasonDeadlinePassed || m.Reason == outcome.ReasonDeadline {
 		return
@@ -59,25 +60,25 @@
 			}
 			for _, r := range t.runs {
 				if r.offer.Tier > c.offer.Tier && w.now.Before(c.due) {
-					w.t.Fatalf("%s of tier %d refused by %s before its time while %s runs at %s", m.ID, c.offer.Tier, from, r.offer.ID, t.desc.Name)
+					w.t.Fatalf("%s of tier %d refused by %s before its latest start while %s runs at %s", m.ID, c.offer.Tier, from, r.offer.ID, t.desc.Name)
 				}
 			}
 		}
 	}
-	until, standing := w.schedulers[from].floors.InForce(w.now, pool, c.offer.Tier)
-	if !standing {
-		w.t.Fatalf("%s refused for good without a floor", m.ID)
+	until, inForce := w.schedulers[from].floors.InForce(w.now, pool, c.offer.Tier)
+	if !inForce {
+		w.t.Fatalf("%s has a settled refusal without a floor", m.ID)
 	}
 	w.floors = append(w.floors, floorSeen{c.offer.Tier, until})
 	w.stats["settled"]++
 }
 
-// checkTooLate: a request that came with time to spare for all exchanges may
-// run out of time only where nothing lower waits in its stead, unless it was on
-// its way to a place that had been found for it.
-func (w *world) checkTooLate(m message.Refuse) {
+// checkDeadlineRefusal checks a refusal for the deadline. A request that arrived
+// with enough time for all exchanges may expire only while no lower work waits,
+// unless it was recently redirected to capacity found for it.
+func (w *world) checkDeadlineRefusal(m message.Refuse) {
 	c := w.requests[m.ID]
-	if c.slack < w.set.Silence+4*maxDelay || w.now.Sub(c.sentOn) <= 3*maxDelay {
+	if c.slack < w.set.Silence+4*maxDelay || w.now.Sub(c.redirected) <= 3*maxDelay {
 		return
 	}
 	w.stats["too late"]++
@@ -90,18 +91,18 @@
 	}
 }
 
-func (w *world) checkPlaces() {
+func (w *world) checkSlots() {
 	inUse := map[string]int{}
 	for _, c := range w.order {
 		if c.running {
 			inUse[c.offer.Target]++
 		}
 	}
-	for name, places := range w.places {
+	for name, places := range w.slots {
 		if inUse[name] > places && !w.unsettled[name] {
-			w.t.Fatalf("%d in flight at %s with %d places", inUse[name], name, places)
+			w.t.Fatalf("%d in flight at %s with %d slots", inUse[name], name, places)
 		}
-		if inUse[name] <= places && w.schedulers[w.homes[name]].targets[name] != nil && w.schedulers[w.homes[name]].targets[name].open() {
+		if inUse[name] <= places && w.schedulers[w.schedulerOf[name]].targets[name] != nil && w.schedulers[w.schedulerOf[name]].targets[name].acceptsGrants() {
 			delete(w.unsettled, name)
 		}
 	}
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -20,27 +20,28 @@
 	pool     = "p"
 )
 
-// world is two schedulers with three targets, and one owner of all requests.
-// Messages take a random time, in order on each link. The owner does what a
-// good one does: refresh, use grants while they are good, report, try others.
+// world simulates two schedulers with three targets, and one owner of all
+// requests. Messages take a random time and stay in order on each link. The
+// owner behaves correctly: it refreshes offers, uses grants while they are
+// valid, reports runs and tries other targets.
 type world struct {
-	t          *rapid.T
-	now        time.Time
-	set        Settings
-	schedulers map[ident.Incarnation]*Scheduler
-	places     map[string]int
-	homes      map[string]ident.Incarnation // as the owner sees them
-	wire       []letter
-	last       map[string]time.Time
-	requests   map[ident.RequestID]*call
-	order      []*call
-	asks       uint64
-	floors     []floorSeen
-	unsettled  map[string]bool // targets whose takeover has not settled
-	stats      map[string]int
+	t           *rapid.T
+	now         time.Time
+	set         Settings
+	schedulers  map[ident.Incarnation]*Scheduler
+	slots       map[string]int
+	schedulerOf map[string]ident.Incarnation // as the owner sees them
+	inTransit   []envelope
+	last        map[string]time.Time
+	requests    map[ident.RequestID]*call
+	order       []*call
+	asks        uint64
+	floors      []floorSeen
+	unsettled   map[string]bool // targets whose takeover is in progress
+	stats       map[string]int
 }
 
-type letter struct {
+type envelope struct {
 	at       time.Time
 	from, to ident.Incarnation
 	m        message.Message
@@ -48,28 +49,28 @@
 
 // call is a request as its owner sees it.
 type call struct {
-	offer    message.Offer
-	length   time.Duration
-	deadline time.Time
-	slack    time.Duration
-	sentOn   time.Time // when it was last told of room elsewhere
-	due      time.Time
-	sent     map[uint64]time.Time // by ask
-	lastSent time.Time
-	tried    int
-	offered  bool
-	running  bool
-	started  time.Time
-	answered string
+	offer      message.Offer
+	length     time.Duration
+	deadline   time.Time
+	slack      time.Duration
+	redirected time.Time // when it was last directed to another target with capacity
+	due        time.Time
+	sent       map[uint64]time.Time // by ask
+	lastSent   time.Time
+	tried      int
+	offered    bool
+	running    bool
+	started    time.Time
+	answered   string
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
 		t: t, now: time.Unix(1e6, 0), set: testSettings(),
 		schedulers: map[ident.Incarnation]*Scheduler{}, last: map[string]time.Time{},
-		places:   map[string]int{"t": 1, "u": 2, "v": 1},
-		homes:    map[string]ident.Incarnation{"t": "a", "u": "b", "v": "a"},
-		requests: map[ident.RequestID]*call{}, unsettled: map[string]bool{}, stats: map[string]int{},
+		slots:       map[string]int{"t": 1, "u": 2, "v": 1},
+		schedulerOf: map[string]ident.Incarnation{"t": "a", "u": "b", "v": "a"},
+		requests:    map[ident.RequestID]*call{}, unsettled: map[string]bool{}, stats: map[string]int{},
 	}
 	w.set.Preempt = rapid.Bool().Draw(t, "preempt")
 	for i, name := range []ident.Incarnation{"a", "b"} {
@@ -87,7 +88,7 @@
 func (w *world) targets(names ...string) []Target {
 	var list []Target
 	for _, name := range names {
-		list = append(list, Target{Name: name, Pool: pool, MaxInFlight: w.places[name], PrefillRate: 5000, StepTime: 5 * time.Millisecond})
+		list = append(list, Target{Name: name, Pool: pool, MaxInFlight: w.slots[name], PrefillRate: 5000, StepTime: 5 * time.Millisecond})
 	}
 	return list
 }
@@ -102,47 +103,47 @@
 		at = w.last[link]
 	}
 	w.last[link] = at
-	w.wire = append(w.wire, letter{at, from, to, m})
+	w.inTransit = append(w.inTransit, envelope{at, from, to, m})
 }
 
-// pass lets time pass and checks the promises after every step.
+// pass advances the time and checks the invariants after every step.
 func (w *world) pass(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
 		w.deliver()
 		if w.now.UnixMilli()%20 == 0 {
 			for _, name := range []ident.Incarnation{"a", "b"} {
-				w.take(name, w.schedulers[name].Tick(w.now))
+				w.checkEffects(name, w.schedulers[name].Tick(w.now))
 			}
-			w.tend()
+			w.runOwner()
 		}
-		w.checkPlaces()
+		w.checkSlots()
 	}
 }
 
 func (w *world) deliver() {
-	var later, due []letter
-	for _, l := range w.wire {
+	var later, due []envelope
+	for _, l := range w.inTransit {
 		if l.at.After(w.now) {
 			later = append(later, l)
 		} else {
 			due = append(due, l)
 		}
 	}
-	w.wire = later
+	w.inTransit = later
 	for _, l := range due {
 		s := w.schedulers[l.to]
 		switch m := l.m.(type) {
 		case message.Offer:
-			w.take(l.to, s.Offer(w.now, l.from, m))
+			w.checkEffects(l.to, s.Offer(w.now, l.from, m))
 		case message.Done:
-			w.take(l.to, s.Done(w.now, l.from, m))
+			w.checkEffects(l.to, s.Done(w.now, l.from, m))
 		case message.Running:
-			w.take(l.to, s.Running(w.now, l.from, m))
+			w.checkEffects(l.to, s.Running(w.now, l.from, m))
 		case message.FloorAsk:
-			w.take(l.to, s.FloorAsk(w.now, l.from, m))
+			w.checkEffects(l.to, s.FloorAsk(w.now, l.from, m))
 		case message.FloorReply:
-			w.take(l.to, s.FloorReply(w.now, l.from, m))
+			w.checkEffects(l.to, s.FloorReply(w.now, l.from, m))
 		case message.Grant:
 			w.granted(m)
 		case message.Refuse:
@@ -190,7 +191,7 @@
 	o := c.offer
 	o.Ask = w.asks
 	o.Remaining = c.deadline.Sub(w.now)
-	w.post("o", w.homes[o.Target], o)
+	w.post("o", w.schedulerOf[o.Target], o)
 }
 
 func (w *world) granted(m message.Grant) {
@@ -215,7 +216,7 @@
 	case Moved(m):
 		c.offered = false // offered again by tend
 	case m.Elsewhere != "":
-		c.sentOn = w.now
+		c.redirected = w.now
 		w.offer(c, m.Elsewhere, false)
 		w.stats["elsewhere"]++
 	case c.offer.Final:
@@ -238,11 +239,11 @@
 
 func (w *world) end(c *call, result message.Result) {
 	c.running = false
-	w.post("o", w.homes[c.offer.Target], message.Done{ID: c.offer.ID, Target: c.offer.Target, Result: result})
+	w.post("o", w.schedulerOf[c.offer.Target], message.Done{ID: c.offer.ID, Target: c.offer.Target, Result: result})
 }
 
-// tend does what the owner does every 20 ms.
-func (w *world) tend() {
+// runOwner performs the owner's periodic work, every 20 ms.
+func (w *world) runOwner() {
 	runs := map[ident.Incarnation][]message.RunningOne{}
 	for _, c := range w.order {
 		switch {
@@ -252,7 +253,7 @@
 		case c.running:
 			o := c.offer
 			o.Remaining = c.deadline.Sub(w.now)
-			home := w.homes[o.Target]
+			home := w.schedulerOf[o.Target]
 			runs[home] = append(runs[home], message.RunningOne{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
 		case c.answered == "" && !c.offered:
 			w.offer(c, c.offer.Target, c.offer.Final)
@@ -267,13 +268,13 @@
 	}
 }
 
-// move gives target v to the other scheduler; the views change one by one.
+// move assigns target v to the other scheduler; the views change one by one.
 func (w *world) move() {
 	w.unsettled["v"] = true
 	views := rapid.Permutation([]func(){
-		func() { w.take("b", w.schedulers["b"].SetTargets(w.now, w.targets("u", "v"))) },
-		func() { w.take("a", w.schedulers["a"].SetTargets(w.now, w.targets("t"))) },
-		func() { w.homes["v"] = "b" },
+		func() { w.checkEffects("b", w.schedulers["b"].SetTargets(w.now, w.targets("u", "v"))) },
+		func() { w.checkEffects("a", w.schedulers["a"].SetTargets(w.now, w.targets("t"))) },
+		func() { w.schedulerOf["v"] = "b" },
 	}).Draw(w.t, "views")
 	for _, change := range views {
 		change()
@@ -281,7 +282,7 @@
 	}
 }
 
-// TestMain fixes the seed and the number of schedules, unless they are given.
+// TestMain sets the seed and the number of schedules, unless flags set them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
@@ -296,12 +297,13 @@
 	os.Exit(m.Run())
 }
 
-// TestPromises drives random schedules and checks at every instant: no lower
-// work is granted past waiting higher work or after a settled refusal while its
-// floor stands; nothing lower waits anywhere when a refusal is settled, and what
-// still runs has been waited for; places are kept to; calls that may not be
-// repeated are never preempted; every request is answered.
-func TestPromises(t *testing.T) {
+// TestSchedulerInvariants runs random schedules and checks the following at every
+// step. No lower work is granted before waiting higher work, nor after a settled
+// refusal while its floor is in force. When a refusal is settled, no lower work
+// waits at any target, and lower runs have been waited for as long as the
+// deadline allows. Targets hold no more requests than they have slots. Calls that
+// may not be repeated are never preempted. Every request is answered.
+func TestSchedulerInvariants(t *testing.T) {
 	total := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -327,6 +329,6 @@
 	})
 	t.Log(total)
 	if total["settled"] == 0 || total["preempted"] == 0 || total["elsewhere"] == 0 {
-		t.Fatal("the schedules do not reach what they are to check")
+		t.Fatal("the random schedules reached no settled refusal, no preemption or no redirection")
 	}
 }
--- a/internal/core/scheduler/report.go
+++ b/internal/core/scheduler/report.go
@@ -8,11 +8,12 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// maxBuffered bounds the runs kept for targets that are not placed here yet.
+// maxBufferedRuns bounds the runs stored for targets that are not assigned to
+// this scheduler yet.
 const maxBuffered = 8192
 
-// reportBuffer keeps reports on targets that this entry does not schedule yet:
-// an owner may see a change of membership before we do, and reports only once.
+// reportBuffer stores reports on targets that this entry does not schedule yet:
+// an owner may see a change of membership earlier, and reports only once.
 type reportBuffer struct {
 	reports map[ident.RequestID]earlyReport
 }
@@ -28,7 +29,7 @@
 		b.reports = make(map[ident.RequestID]earlyReport)
 	}
 	if len(b.reports) >= maxBuffered {
-		b.drop(func(r earlyReport) bool { return s.now.Sub(r.at) > s.set.Silence })
+		b.drop(func(r earlyReport) bool { return s.now.Sub(r.at) > s.settings.Silence })
 	}
 	if len(b.reports) < maxBuffered {
 		b.reports[one.Offer.ID] = earlyReport{from: from, at: s.now, run: one}
@@ -47,15 +48,16 @@
 	}
 }
 
-// apply counts the buffered runs of a target that has just been placed here.
+// apply counts the buffered runs of a target that has just been assigned to this
+// scheduler.
 func (b *reportBuffer) apply(s *Scheduler, t *target) {
-	for _, id := range sortedNames(b.reports) {
+	for _, id := range sortedKeys(b.reports) {
 		r := b.reports[id]
 		if r.run.Offer.Target != t.desc.Name {
 			continue
 		}
 		delete(b.reports, id)
-		if age := s.now.Sub(r.at); age <= s.set.Silence {
+		if age := s.now.Sub(r.at); age <= s.settings.Silence {
 			r.run.Age += age
 			r.run.Offer.Remaining -= age
 			s.reportOne(t, r.from, r.run)
@@ -63,10 +65,10 @@
 	}
 }
 
-// Running takes an owner's report of its runs. A full report also tells which
-// runs have ended unheard, and counts towards the end of takeovers.
+// Running handles an owner's report of its runs. A full report also reveals runs
+// whose Done was lost, and counts towards the end of takeovers.
 func (s *Scheduler) Running(now time.Time, from ident.Incarnation, m message.Running) []Effect {
-	s.tick(now)
+	s.advance(now)
 	for _, one := range m.Runs {
 		t := s.targets[one.Offer.Target]
 		if t == nil {
@@ -77,19 +79,19 @@
 		s.fill(t)
 	}
 	if m.Full {
-		s.early.add(s, from, m.Moved)
+		s.fullReports.add(s, from, m.Moved)
 		s.reconcile(from, m)
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) reportOne(t *target, from ident.Incarnation, one message.RunningOne) {
 	if o := t.offers[one.Offer.ID]; o != nil && o.from == from {
-		// Used under a grant of a former scheduler.
+		// It runs under a grant of a previous scheduler.
 		s.remove(o)
 	}
 	r := t.runs[one.Offer.ID]
-	if r == nil && t.past.over(s.now, one.Offer.ID, s.set.Silence) {
+	if r == nil && t.endedRuns.contains(s.now, one.Offer.ID, s.settings.Silence) {
 		return
 	}
 	if r == nil {
@@ -105,9 +107,9 @@
 	if r.started {
 		t.endPrefill(r)
 	}
-	s.timers.set(r, r.nextTime(s))
-	if r.preempting && s.now.Sub(r.preemptAt) > s.set.Grant {
-		// The first order was lost, or its owner still holds the run.
+	s.timers.set(r, r.nextTimer(s))
+	if r.preempting && s.now.Sub(r.preemptAt) > s.settings.Grant {
+		// The first Preempt was lost, or the owner has not cancelled the run yet.
 		s.sendPreempt(r)
 	}
 }
@@ -115,30 +117,31 @@
 func (s *Scheduler) reportedRun(t *target, from ident.Incarnation, one message.RunningOne) *run {
 	m := one.Offer
 	work := m.PromptTokens - t.cached(m)
-	service := t.est.Total(work, 0, m.MaxTokens, 0, len(t.runs))
+	service := t.estimator.Total(work, 0, m.MaxTokens, 0, len(t.runs))
 	began := s.now.Add(-one.Age)
 	return &run{
-		offer:    m,
-		work:     work,
-		from:     from,
-		target:   t,
-		lane:     t.lane(m.PromptTokens, m.Alone, m.Kind == request.Service),
-		began:    began,
-		service:  service,
-		end:      began.Add(service),
-		deadline: s.now.Add(m.Remaining),
-		started:  one.Started,
+		offer:          m,
+		uncachedPrompt: work,
+		from:           from,
+		target:         t,
+		lane:           t.lane(m.PromptTokens, m.Alone, m.Kind == request.Service),
+		began:          began,
+		service:        service,
+		expectedEnd:    began.Add(service),
+		deadline:       s.now.Add(m.Remaining),
+		started:        one.Started,
 	}
 }
 
-// reconcile drops runs that a full report of their owner does not list. Grants
-// that were never reported stay: the report may have left before they came.
+// reconcile ends runs that a full report of their owner does not list. Grants
+// that were never reported remain: the report may have been sent before they
+// arrived.
 func (s *Scheduler) reconcile(from ident.Incarnation, m message.Running) {
 	listed := make(map[ident.RequestID]struct{}, len(m.Runs))
 	for _, one := range m.Runs {
 		listed[one.Offer.ID] = struct{}{}
 	}
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		t := s.targets[name]
 		delete(t.awaited, from)
 		for _, r := range t.sortedRuns() {
--- a/internal/core/scheduler/room.go
+++ b/internal/core/scheduler/room.go
@@ -8,97 +8,100 @@
 )
 
 type (
-	identity = ident.Incarnation
-	verdict  = floors.Result
+	identity       = ident.Incarnation
+	exchangeResult = floors.Result
 )
 
-// roomKind says how a target could take a request, the best last.
-type roomKind uint8
+// capacityKind is how a target could accept a request, the best kind last.
+type capacityKind uint8
 
 const (
-	roomNone roomKind = iota
-	roomByPreemption
-	roomByDisplacement
-	roomInQueue
-	roomFree
+	capacityNone capacityKind = iota
+	capacityByPreemption
+	capacityByDisplacement
+	capacityInQueue
+	capacityFree
 )
 
-// room finds the target of a pool that can best take a request now, other than
-// except, and tells it to expect that one; nil if none can.
-func (s *Scheduler) room(pool string, need message.Offer, except *target, least roomKind) (best *target, cost int) {
+// findCapacity returns the target of a pool, other than except, that can best
+// accept a request now, and reserves the capacity there. best is nil if no
+// target can.
+func (s *Scheduler) findCapacity(pool string, need message.Offer, except *target, least capacityKind) (best *target, cost int) {
 	kind := least - 1
 	for _, t := range s.pools[pool] {
 		if t == except || t.desc.Name == need.Target {
 			continue
 		}
-		k := s.roomAt(t, need)
-		c := s.costAt(t, k, need.Tier)
+		k := s.capacityAt(t, need)
+		c := s.preemptionCostAt(t, k, need.Tier)
 		if k > kind || best != nil && k == kind && c < cost {
 			best, cost, kind = t, c, k
 		}
 	}
 	if best != nil {
-		best.expect(need.ID, need.Tier, kind == roomByPreemption)
+		best.expect(need.ID, need.Tier, kind == capacityByPreemption)
 	}
 	return best, cost
 }
 
-// costAt is what making room there throws away, in tokens; 0: nothing.
-func (s *Scheduler) costAt(t *target, kind roomKind, tier request.Tier) int {
-	if kind != roomByPreemption {
+// preemptionCostAt returns 1 plus the computed tokens of the run that has to be
+// cancelled there, or 0 if none has to be.
+func (s *Scheduler) preemptionCostAt(t *target, kind capacityKind, tier request.Tier) int {
+	if kind != capacityByPreemption {
 		return 0
 	}
-	return 1 + t.computed(s.victim(t, tier))
+	return 1 + t.computedTokens(s.victim(t, tier))
 }
 
-// ownCandidate is the least costly run of ours that could be cancelled for an
-// offer, at the target where it waits or another.
+// ownCandidate returns the cheapest run of this scheduler's targets that could be
+// cancelled for an offer, at the target where it waits or at another.
 func (s *Scheduler) ownCandidate(o *offer) floors.Candidate {
 	var own floors.Candidate
-	if best, cost := s.room(o.target.desc.Pool, o.current(s.now), o.target, roomByPreemption); best != nil {
+	if best, cost := s.findCapacity(o.target.desc.Pool, o.current(s.now), o.target, capacityByPreemption); best != nil {
 		own = floors.Candidate{Target: best.desc.Name, Cost: cost}
 	}
 	if r := s.victimFor(o); r != nil && s.mayPreemptHere(o) {
-		if cost := 1 + o.target.computed(r); own.Target == "" || cost <= own.Cost {
+		if cost := 1 + o.target.computedTokens(r); own.Target == "" || cost <= own.Cost {
 			own = floors.Candidate{Target: o.target.desc.Name, Cost: cost}
 		}
 	}
 	return own
 }
 
-func (s *Scheduler) roomAt(t *target, need message.Offer) roomKind {
-	if !t.open() || s.lowestGranted(t).Above(need.Tier) || need.Alone && t.suspects > 0 {
-		return roomNone
+func (s *Scheduler) capacityAt(t *target, need message.Offer) capacityKind {
+	if !t.acceptsGrants() || s.lowestGrantable(t).Above(need.Tier) || need.Alone && t.suspects > 0 {
+		return capacityNone
 	}
 	o := s.newOffer(t, s.self, need)
-	if s.set.Early && o.Due.Before(s.now) || !s.admissible(o) {
-		return roomNone
+	if s.settings.Early && o.Due.Before(s.now) || !s.admissible(o) {
+		return capacityNone
 	}
-	expected := t.expected(o.Tier)
+	expected := t.expectedCount(o.Tier)
 	ahead := t.queue.Ahead(o.Tier, o.Organisation, o.Due) + expected
-	inTime := !t.late(o, t.waitBehind(ahead, o.service))
-	full := t.queue.Len()+expected >= max(1, s.set.QueuePerTarget)
+	inTime := !t.missesDeadline(o, t.waitBehind(ahead, o.service))
+	full := t.queue.Len()+expected >= max(1, s.settings.QueuePerTarget)
 	switch {
 	case inTime && ahead < t.limit()-len(t.runs) && t.mayStart(&o.Item):
-		return roomFree
+		return capacityFree
 	case inTime && !full:
-		return roomInQueue
+		return capacityInQueue
 	case inTime && s.displaceable(t, o, expected):
-		return roomByDisplacement
+		return capacityByDisplacement
 	case s.preemptibleRuns(t, o) > expected && s.inTimeByPreemption(t, o, ahead):
-		return roomByPreemption
+		return capacityByPreemption
 	}
-	return roomNone
+	return capacityNone
 }
 
-// inTimeByPreemption: the place of the run that is cancelled goes to whoever is
-// first in the queue, so the offer must be in time with one less before it.
+// inTimeByPreemption reports whether an offer meets its deadlines if a run is
+// cancelled. The slot goes to the first offer in the queue, so the offer must be
+// in time with one fewer ahead of it.
 func (s *Scheduler) inTimeByPreemption(t *target, o *offer, ahead int) bool {
 	r := s.victim(t, o.Tier)
-	if r == nil || t.lateBeside(o, 0, t.loadWithout(r)) {
+	if r == nil || t.missesDeadlineWith(o, 0, t.loadWithout(r)) {
 		return false
 	}
-	return ahead == 0 || !t.late(o, t.waitBehind(ahead-1, o.service))
+	return ahead == 0 || !t.missesDeadline(o, t.waitBehind(ahead-1, o.service))
 }
 
 func (s *Scheduler) displaceable(t *target, o *offer, expected int) bool {
@@ -119,21 +122,22 @@
 	return n
 }
 
-// expect notes that a request was told of room here. Two asks in a row must
-// not be sent to the same last place.
+// expect reserves capacity for a request that is directed to this target. Two
+// requests in a row must not be directed to the same last slot.
 func (t *target) expect(id ident.RequestID, tier request.Tier, preempts bool) {
-	t.rooms[id] = expectation{tier: tier, until: t.clock.Add(t.set.tripTime()), preempts: preempts}
+	t.expectedOffers[id] = expectedOffer{tier: tier, until: t.clock.Add(t.settings.tripTime()), preempts: preempts}
 }
 
-// expected counts the requests of a tier and above on their way here, and
-// forgets the overdue. Lower ones make way when they come: counted, one of them
-// would let a higher request be refused whose place it then takes.
-// Their number is bounded, since room ends when it reaches what there is.
-func (t *target) expected(tier request.Tier) int {
+// expectedCount returns the number of expected requests of a tier and above, and
+// deletes overdue ones. Lower requests are not counted, since they yield to
+// higher ones when they arrive; if they were, a higher request could be refused
+// and a lower one take its slot. The number is bounded, since it reduces the
+// capacity that is reported.
+func (t *target) expectedCount(tier request.Tier) int {
 	n := 0
-	for id, e := range t.rooms {
+	for id, e := range t.expectedOffers {
 		if !t.clock.Before(e.until) {
-			delete(t.rooms, id)
+			delete(t.expectedOffers, id)
 			continue
 		}
 		if !tier.Above(e.tier) {
@@ -143,25 +147,26 @@
 	return n
 }
 
-// lowerLeft reports whether work below a tier runs, or may run, at our targets
-// of a pool. If such work could make room by preemption for the request that
-// is asked for, there would have been room. It is not judged by that request's
-// deadline: the floor serves others of the tier too, which may have time to
-// wait for its end. What runs at a target that has just changed its scheduler
-// is not known, neither at the new one nor any more at the former.
-func (s *Scheduler) lowerLeft(pool string, tier request.Tier) bool {
-	if s.now.Before(s.parted[pool]) {
+// lowerWorkLeft reports whether work below a tier runs, or may run, at this
+// scheduler's targets of a pool. If preempting such work could serve the request
+// in question, capacity would have been reported. The request's deadline is not
+// considered: the floor applies to other requests of the tier too, which may
+// have time to wait for the lower work's end. The runs at a target that has just
+// changed its scheduler are unknown to the new one and no longer known to the
+// previous one.
+func (s *Scheduler) lowerWorkLeft(pool string, tier request.Tier) bool {
+	if s.now.Before(s.handedOverUntil[pool]) {
 		return true
 	}
 	for _, t := range s.pools[pool] {
-		if t.available && (!t.open() || t.lowerRuns(tier)) {
+		if t.available && (!t.acceptsGrants() || t.runsLower(tier)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *target) lowerRuns(tier request.Tier) bool {
+func (t *target) runsLower(tier request.Tier) bool {
 	for _, r := range t.runs {
 		if tier.Above(r.offer.Tier) {
 			return true
--- a/internal/core/scheduler/run.go
+++ b/internal/core/scheduler/run.go
@@ -9,61 +9,64 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// prefillSlack: a prompt whose computation was not reported counts as computed
-// after this many times its estimate, so that a lost report does not hold its
-// part of the prefill budget until the run's end.
-const prefillSlack = 2
+// prefillTimeoutFactor is the multiple of its estimated prefill time after which
+// a prompt counts as computed without a report, so that a lost report does not
+// occupy part of the prefill budget until the run ends.
+const prefillTimeoutFactor = 2
 
-// run is a place in use: granted, or reported by its owner.
+// run is a slot in use: granted, or reported by its owner.
 type run struct {
 	offer  message.Offer
 	from   ident.Incarnation
 	target *target
-	// work is the part of its prompt that is not expected in the cache.
-	work     int
-	lane     queue.Lane
-	began    time.Time // the grant, or the start that the owner reported
-	service  time.Duration
-	end      time.Time // probable
-	lapse    time.Time // of the grant, until reported
-	deadline time.Time
-	batch    int
-	// ahead is prompt tokens granted before it and not computed at its grant.
-	ahead int
-	// spentBefore is the target's computed prompt tokens at the first token.
-	spentBefore float64
-	tokens      int
-	reported    bool
-	started     bool
-	// prefilling: its prompt counts in the target's budget until prefillBy.
+	// uncachedPrompt is the number of prompt tokens not expected in the cache.
+	uncachedPrompt int
+	lane           queue.Lane
+	began          time.Time // the grant, or the start that the owner reported
+	service        time.Duration
+	expectedEnd    time.Time // by estimate
+	grantExpiry    time.Time // of the grant, while the run is not reported
+	deadline       time.Time
+	batch          int
+	// prefillAhead is the prompt tokens granted before it and not yet computed at
+	// its grant.
+	prefillAhead int
+	// longComputedBefore is the target's prefillBacklog.longComputed at the first
+	// token.
+	longComputedBefore float64
+	tokens             int
+	reported           bool
+	started            bool
+	// prefilling reports that its prompt counts in the target's prefill budget,
+	// at most until prefillBy.
 	prefilling bool
 	prefillBy  time.Time
 	preempting bool
 	preemptAt  time.Time
 	orphan     bool
-	gone       bool
+	ended      bool
 	timer      timer
 }
 
-// fill grants places while there are some and something may start.
+// fill grants free slots while a waiting offer may start.
 func (s *Scheduler) fill(t *target) {
-	for t.open() && len(t.runs) < t.limit() {
-		it := t.queue.Head(t.may)
+	for t.acceptsGrants() && len(t.runs) < t.limit() {
+		it := t.queue.Head(t.canStart)
 		if it == nil {
 			s.admitHeld(t)
 			if t.queue.Len() == 0 {
 				return
 			}
-			if it = t.queue.Head(t.may); it == nil {
+			if it = t.queue.Head(t.canStart); it == nil {
 				return
 			}
 		}
-		if s.lowestGranted(t).Above(it.Tier) {
+		if s.lowestGrantable(t).Above(it.Tier) {
 			return
 		}
 		o := t.offers[it.ID]
-		if t.late(o, 0) {
-			// Refused before any of its prompt is computed in vain.
+		if t.missesDeadline(o, 0) {
+			// Refuse it before prefill work is wasted on it.
 			s.refuseForLoad(o, o.reason)
 			continue
 		}
@@ -71,26 +74,26 @@
 	}
 }
 
-// lowestGranted is the lowest tier that may be granted at a target now.
-func (s *Scheduler) lowestGranted(t *target) request.Tier {
+// lowestGrantable returns the lowest tier that may be granted at a target now.
+func (s *Scheduler) lowestGrantable(t *target) request.Tier {
 	if !s.quorum {
 		return topTier
 	}
 	a := s.floors.Admission(s.now, t.desc.Pool)
-	return min(a.Floor, a.GrantFloor, t.lowest())
+	return min(a.Floor, a.GrantFloor, t.takeoverFloor())
 }
 
-// admitHeld moves offers that were held for an exchange into the queue, when
-// the target has places that nothing in its queue wants.
+// admitHeld moves an offer that is held for an exchange into the queue if the
+// queue is empty.
 func (s *Scheduler) admitHeld(t *target) {
 	if t.queue.Len() > 0 {
 		return
 	}
-	for _, key := range s.holdKeys {
+	for _, key := range s.heldKeys {
 		if key.pool != t.desc.Pool {
 			continue
 		}
-		for _, o := range s.holdings[key].here(t) {
+		for _, o := range s.held[key].offersAt(t) {
 			if s.readmit(o) {
 				return
 			}
@@ -103,39 +106,39 @@
 	t.queue.Take(&o.Item)
 	s.remove(o)
 	r := &run{
-		offer:    o.msg,
-		work:     o.Prompt,
-		from:     o.from,
-		target:   t,
-		lane:     o.Lane,
-		began:    s.now,
-		service:  o.service,
-		end:      s.now.Add(t.scaled(o.service) + t.prefillTime(t.backlog())),
-		deadline: o.deadline,
-		batch:    len(t.runs) + 1,
-		ahead:    t.backlog(),
+		offer:          o.msg,
+		uncachedPrompt: o.Prompt,
+		from:           o.from,
+		target:         t,
+		lane:           o.Lane,
+		began:          s.now,
+		service:        o.service,
+		expectedEnd:    s.now.Add(t.scaled(o.service) + t.prefillTime(t.backlog())),
+		deadline:       o.deadline,
+		batch:          len(t.runs) + 1,
+		prefillAhead:   t.backlog(),
 	}
 	if r.lane == queue.Long {
-		t.putOff(t.prefillTime(r.work))
+		t.delayRuns(t.prefillTime(r.uncachedPrompt))
 	}
 	t.addRun(r)
-	s.sendGrant(r, o.asked)
+	s.sendGrant(r, o.refreshed)
 }
 
-// sendGrant grants a place. Valid counts from when the owner sent the ask, so
-// it is the ask's age here plus the grant's time; our own lapse is later than
-// the owner's by the transit, and by the margin in which a report of a grant
-// used at the last moment may arrive.
+// sendGrant grants a slot. Valid counts from when the owner sent the offer, so
+// it is the offer's age here plus the grant time. The grant expires here later
+// than at the owner, by the transit time and by a margin for the report of a
+// grant that was used at the last moment.
 func (s *Scheduler) sendGrant(r *run, asked time.Time) {
-	valid := s.now.Sub(asked) + s.set.Grant
-	r.lapse = s.now.Add(2 * s.set.Grant)
-	s.timers.set(r, r.nextTime(s))
+	valid := s.now.Sub(asked) + s.settings.Grant
+	r.grantExpiry = s.now.Add(2 * s.settings.Grant)
+	s.timers.set(r, r.nextTimer(s))
 	s.send(r.from, message.Grant{Ask: r.offer.Ask, ID: r.offer.ID, Target: r.offer.Target, Valid: valid})
 }
 
 func (t *target) addRun(r *run) {
 	t.runs[r.offer.ID] = r
-	t.service += r.service
+	t.totalService += r.service
 	if r.lane == queue.Long {
 		t.longRuns++
 	}
@@ -144,12 +147,12 @@
 	}
 	if r.offer.PromptTokens > 0 && !r.started {
 		r.prefilling = true
-		first := t.est.FirstToken(r.work, 0, t.prefill, len(t.runs))
-		r.prefillBy = t.clock.Add(prefillSlack * first)
-		t.prefill += r.work
+		first := t.estimator.FirstToken(r.uncachedPrompt, 0, t.prefill, len(t.runs))
+		r.prefillBy = t.clock.Add(prefillTimeoutFactor * first)
+		t.prefill += r.uncachedPrompt
 		t.addBacklog(r)
 		if r.lane == queue.Long {
-			t.prefillLong += r.work
+			t.prefillLong += r.uncachedPrompt
 		}
 	}
 }
@@ -159,22 +162,22 @@
 		return
 	}
 	r.prefilling = false
-	t.prefill -= r.work
+	t.prefill -= r.uncachedPrompt
 	if r.lane == queue.Long {
-		t.prefillLong -= r.work
+		t.prefillLong -= r.uncachedPrompt
 	}
 	t.clampBacklog()
-	r.spentBefore = t.pending.spent
+	r.longComputedBefore = t.pending.longComputed
 }
 
 func (t *target) endRun(r *run) {
-	if r.gone {
+	if r.ended {
 		return
 	}
-	r.gone = true
+	r.ended = true
 	t.endPrefill(r)
 	delete(t.runs, r.offer.ID)
-	t.service -= r.service
+	t.totalService -= r.service
 	if r.lane == queue.Long {
 		t.longRuns--
 	}
@@ -186,16 +189,17 @@
 
 func (r *run) timerOf() *timer { return &r.timer }
 
-// nextTime: a grant that nobody used lapses; a run whose owner is gone counts
-// until its probable end; any other run until its deadline, at which its owner
-// cancels it, and the silence limit for a lost Done.
-func (r *run) nextTime(s *Scheduler) time.Time {
-	next := r.deadline.Add(s.set.Silence)
+// nextTimer returns when the run is next checked. An unused grant expires. A run
+// whose owner has terminated counts until its expected end; any other run until
+// its deadline, at which its owner cancels it, plus the failure-detection
+// timeout in case its Done is lost.
+func (r *run) nextTimer(s *Scheduler) time.Time {
+	next := r.deadline.Add(s.settings.Silence)
 	switch {
 	case !r.reported:
-		next = r.lapse
+		next = r.grantExpiry
 	case r.orphan:
-		next = earliest(r.deadline, r.end)
+		next = earliest(r.deadline, r.expectedEnd)
 	}
 	if r.prefilling {
 		next = earliest(next, r.prefillBy)
@@ -204,14 +208,14 @@
 }
 
 func (r *run) fire(s *Scheduler) time.Time {
-	if r.gone {
+	if r.ended {
 		return time.Time{}
 	}
 	t := r.target
 	if r.prefilling && !s.now.Before(r.prefillBy) {
 		t.endPrefill(r)
 	}
-	next := r.nextTime(s)
+	next := r.nextTimer(s)
 	if !s.now.Before(next) {
 		t.endRun(r)
 		next = time.Time{}
@@ -220,14 +224,14 @@
 	return next
 }
 
-// Done ends a run and learns from it.
+// Done ends a run and updates the estimates from it.
 func (s *Scheduler) Done(now time.Time, from ident.Incarnation, d message.Done) []Effect {
-	s.tick(now)
+	s.advance(now)
 	t := s.targets[d.Target]
 	if t == nil {
-		return s.take()
+		return s.takeEffects()
 	}
-	t.past.end(s.now, d.ID, s.set.Silence)
+	t.endedRuns.end(s.now, d.ID, s.settings.Silence)
 	if r := t.runs[d.ID]; r != nil && r.from == from {
 		s.learn(t, r, d)
 		t.endRun(r)
@@ -236,11 +240,11 @@
 		s.remove(o)
 	}
 	if d.Result == message.ResultLeaving && t.available {
-		// Its own word comes before the instance list's, which lags.
+		// The target's own announcement arrives before the instance list's update.
 		s.setAvailable(t, false)
 	}
 	s.fill(t)
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) learn(t *target, r *run, d message.Done) {
@@ -249,26 +253,26 @@
 		sample.Batch = r.batch
 	}
 	if sample.QueuedPrefill == 0 {
-		sample.QueuedPrefill = r.ahead
+		sample.QueuedPrefill = r.prefillAhead
 	}
-	t.ownSteps(r, &sample)
+	t.subtractLongPrefill(r, &sample)
 	t.learnCached(r, sample)
-	whole := d.Result == message.ResultComplete
-	if whole {
+	complete := d.Result == message.ResultComplete
+	if complete {
 		t.learnOccupancy(r, s.now.Sub(r.began))
 	}
-	if whole || d.Result == message.ResultCancelled && sample.FirstToken > 0 {
-		t.est.Observe(s.now, sample)
+	if complete || d.Result == message.ResultCancelled && sample.FirstToken > 0 {
+		t.estimator.Observe(s.now, sample)
 	}
 }
 
-// PeerGone says that an entry's process has ended. Its offers are dropped, its
-// unused grants lapse, and its runs go on at the targets: they count until
-// their probable end.
+// PeerGone handles the end of an entry's process. Its offers are removed, its
+// unused grants expire, and its runs, which continue at the targets, count until
+// their expected end.
 func (s *Scheduler) PeerGone(now time.Time, from ident.Incarnation) []Effect {
-	s.tick(now)
+	s.advance(now)
 	s.reports.forget(from)
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		t := s.targets[name]
 		for _, o := range t.sortedOffers() {
 			if o.from == from {
@@ -278,47 +282,48 @@
 		for _, r := range t.sortedRuns() {
 			if r.from == from {
 				r.orphan = true
-				s.timers.set(r, r.nextTime(s))
+				s.timers.set(r, r.nextTimer(s))
 			}
 		}
 		delete(t.awaited, from)
 	}
-	s.verdicts(s.floors.PeerTerminated(s.now, from))
-	for _, name := range sortedNames(s.targets) {
+	s.handleResults(s.floors.PeerTerminated(s.now, from))
+	for _, name := range sortedKeys(s.targets) {
 		s.fill(s.targets[name])
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
-// computed is the work that a run has cost so far, in tokens.
-func (t *target) computed(r *run) int {
+// computedTokens returns the tokens that a run has computed so far.
+func (t *target) computedTokens(r *run) int {
 	if r.started {
-		return r.work + r.tokens
+		return r.uncachedPrompt + r.tokens
 	}
 	if !r.reported {
 		return 0
 	}
-	first := t.est.FirstToken(r.work, 0, 0, len(t.runs))
+	first := t.estimator.FirstToken(r.uncachedPrompt, 0, 0, len(t.runs))
 	if first <= 0 {
-		return r.work
+		return r.uncachedPrompt
 	}
 	part := float64(t.clock.Sub(r.began)) / float64(first)
-	return int(min(1, part) * float64(r.work))
+	return int(min(1, part) * float64(r.uncachedPrompt))
 }
 
-// lastMoments: a run so near to its end that waiting is cheaper than cancelling.
-// One that has outlived its probable end by as much may take any time: were it
-// spared for good, higher work would be refused while it runs.
-func (t *target) lastMoments(r *run) bool {
-	return r.reported && r.end.Sub(*t.clock).Abs() < r.service/lastMomentsPart
+// nearEnd reports whether a run is so close to its expected end that waiting is
+// cheaper than cancelling it. A run that exceeds its expected end by the same
+// margin is no longer spared: it may take any time, and higher work would be
+// refused while it runs.
+func (t *target) nearEnd(r *run) bool {
+	return r.reported && r.expectedEnd.Sub(*t.clock).Abs() < r.service/nearEndDivisor
 }
 
-const lastMomentsPart = 20
+const nearEndDivisor = 20
 
-// victim is the run that is cancelled for a request of a tier: of lower work
-// that may be repeated, the one that has cost least.
+// victim returns the run to cancel for a request of a tier, or nil: of the
+// lower runs that may be repeated, the one that has computed the fewest tokens.
 func (s *Scheduler) victim(t *target, tier request.Tier) *run {
-	if !s.set.Preempt {
+	if !s.settings.Preempt {
 		return nil
 	}
 	var best *run
@@ -327,7 +332,7 @@
 		if !tier.Above(r.offer.Tier) || !t.preemptible(r) {
 			continue
 		}
-		c := t.computed(r)
+		c := t.computedTokens(r)
 		if best == nil || c < cost || c == cost && r.offer.ID < best.offer.ID {
 			best = r
 			cost = c
@@ -336,23 +341,23 @@
 	return best
 }
 
-// preemptible: a call that may not be repeated is never cancelled, since its
-// caller could not send it again; nor is a plain service's, which may go on
-// there unseen.
+// preemptible reports whether a run may be cancelled. A call that may not be
+// repeated is never cancelled, since its caller could not send it again; nor is
+// a call of a plain service, which may continue there unnoticed.
 func (t *target) preemptible(r *run) bool {
-	return r.repeatable() && !r.preempting && !t.lastMoments(r)
+	return r.repeatable() && !r.preempting && !t.nearEnd(r)
 }
 
 func (r *run) repeatable() bool {
 	return r.offer.Idempotent && r.offer.Kind == request.Engine && !r.orphan
 }
 
-// preemptFor preempts for an offer whose refusal would be the last word.
-func (s *Scheduler) preemptFor(o *offer) bool {
-	return o.lastWord && s.preempt(o)
+// preemptIfFinal preempts for an offer whose refusal would end the request.
+func (s *Scheduler) preemptIfFinal(o *offer) bool {
+	return o.final && s.preempt(o)
 }
 
-// preempt cancels one lower run for an offer, once.
+// preempt cancels one lower run for an offer, at most once per offer.
 func (s *Scheduler) preempt(o *offer) bool {
 	r := s.victimFor(o)
 	if r == nil {
@@ -363,20 +368,21 @@
 	return true
 }
 
-// preemptWorth preempts for an offer unless that is too dear yet.
-func (s *Scheduler) preemptWorth(o *offer) bool {
+// preemptIfWorthwhile preempts for an offer unless that is still too expensive.
+func (s *Scheduler) preemptIfWorthwhile(o *offer) bool {
 	r := s.victimFor(o)
-	return r != nil && s.worth(o, o.target.computed(r)) && s.preempt(o)
+	return r != nil && s.worthwhile(o, o.target.computedTokens(r)) && s.preempt(o)
 }
 
-// victimFor is the run whose end would let an offer be in time where it is.
+// victimFor returns the run whose cancellation would let an offer meet its
+// deadlines at its target, or nil.
 func (s *Scheduler) victimFor(o *offer) *run {
 	t := o.target
-	if o.preempting || !t.open() {
+	if o.preempting || !t.acceptsGrants() {
 		return nil
 	}
 	r := s.victim(t, o.Tier)
-	if r == nil || t.lateBeside(o, 0, t.loadWithout(r)) {
+	if r == nil || t.missesDeadlineWith(o, 0, t.loadWithout(r)) {
 		return nil
 	}
 	return r
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -1,29 +1,32 @@
-// Package scheduler gives out the places at the targets that this entry
-// schedules: it queues offers, grants places, displaces and preempts lower
-// work for higher, and refuses for want of capacity only under a floor.
+// Package scheduler assigns the slots of the targets that this entry
+// schedules: it queues offers, grants slots, displaces and preempts work of
+// lower tiers for higher ones, and refuses requests for lack of capacity only
+// under a tier floor (the lowest tier that a pool admits; see package floors).
 //
-// Invariants, each with the schedule that breaks the alternative:
+// Invariants, each with the failure that it prevents:
 //
-//   - A grant occupies its place until Done, Withdraw or its lapse, and its lapse
-//     here comes after its lapse at the owner: the owner counts from when it sent
-//     the ask, we from now. Counting both from the grant would let an owner that
-//     was paused use a grant whose place has been given away.
-//   - A run that was reported counts, whatever was granted. Otherwise a report
-//     that crosses a lapse leaves the target one over its limit for good.
-//   - Nothing of a lower tier is granted at a target while something higher waits
-//     there, not even where the higher one is held back by the prefill budget: a
-//     steady stream of short low work would keep it back for ever.
-//   - A preempted place is given out only when Done comes. Granting at once
-//     would put two requests where the engine has one place, and its own queue
-//     knows no tiers.
+//   - A grant occupies its slot until Done, Withdraw or its expiry, and it
+//     expires here after it expires at the owner: the owner counts from when it
+//     sent the request, this scheduler from now. If both counted from the grant,
+//     an owner that was paused could use a grant whose slot has been reassigned.
+//   - A reported run counts, whether or not it was granted here. Otherwise a
+//     report that crosses an expiry leaves the target one over its limit for good.
+//   - Nothing of a lower tier is granted at a target while a higher tier waits
+//     there, even if the prefill budget holds the higher one back: a steady
+//     stream of short low-tier work would hold it back forever.
+//   - A preempted slot is reassigned only when Done arrives. Granting at once
+//     would put two requests into one slot of the engine, whose own queue has no
+//     tiers.
 //   - Tier t is refused for load with Settled only while a floor at t or above
-//     stands at every scheduler of the pool and no lower work that could make
-//     room is left. A local verdict is not enough: the neighbour may run tier 3.
-//   - A promise to another scheduler does not settle our own refusals: the asker
-//     may have got Room from a third, which then still serves lower work.
-//   - After a takeover nothing is granted until the owners' reports came or the
-//     wait passed, and only the top tier until a floor that the former scheduler
-//     may have promised has ended.
+//     is in force at every scheduler of the pool and no lower work is left that
+//     could free a slot. A local check is not enough: another scheduler may be
+//     running tier 3.
+//   - A promise to another scheduler does not settle this scheduler's refusals:
+//     the requester may have received Room from a third scheduler, which then
+//     still serves lower work.
+//   - After a takeover nothing is granted until the owners' reports have arrived
+//     or the wait has passed, and only the top tier until a floor that the
+//     previous scheduler may have promised has ended.
 package scheduler
 
 import (
@@ -40,55 +43,62 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Settings are the rules in force, from the document.
+// Settings are the scheduling rules of the document in force.
 type Settings struct {
 	// QueuePerTarget bounds the offers that wait at one target.
 	QueuePerTarget int
-	// Grant is how long a grant is good, Floor how long a floor stands, Silence
-	// the limit after which a peer counts as out of touch.
+	// Grant is how long a grant is valid, Floor how long a floor is in force,
+	// Silence the failure-detection timeout of a peer.
 	Grant, Floor, Silence time.Duration
-	// Early: refuse at once what the estimate says cannot be in time.
+	// Early enables the immediate refusal of requests that by estimate cannot
+	// meet their deadlines.
 	Early bool
-	// Preempt: cancel lower idempotent runs of engines for higher work.
+	// Preempt enables the cancellation of idempotent runs of lower tiers at
+	// engines for work of higher tiers.
 	Preempt bool
-	// ShortPromptTokens: prompts up to this size are short; 0: no distinction.
+	// ShortPromptTokens is the size up to which a prompt is short. If it is 0,
+	// all prompts are treated alike.
 	ShortPromptTokens int
-	// ShortShare is the part of places and of the prefill budget kept for them.
+	// ShortShare is the share of slots and of the prefill budget reserved for
+	// short prompts.
 	ShortShare float64
-	// PrefillBudget bounds prompt tokens granted and not yet computed per
-	// target; 0: no bound.
+	// PrefillBudget bounds the prompt tokens per target that are granted and not
+	// yet computed. 0 means no bound.
 	PrefillBudget int
-	// RetryMin and RetryMax bound the advice when to come back.
+	// RetryMin and RetryMax bound the retry delay that refusals advise.
 	RetryMin, RetryMax time.Duration
 	// Tiers is the number of tiers.
 	Tiers int
-	// Weights gives an organisation's share within its tier; nil: all equal.
+	// Weights returns an organisation's weight within its tier. If nil, all
+	// weights are equal.
 	Weights func(org string) float64
 }
 
-// Target is what the document says of a target.
+// Target is the document's description of a target.
 type Target struct {
 	Name, Pool, Zone string
 	MaxInFlight      int
-	// PrefillRate is in tokens per second, StepTime between tokens.
+	// PrefillRate is in tokens per second; StepTime is the time between tokens.
 	PrefillRate float64
 	StepTime    time.Duration
-	// Service: a plain service, not an engine.
+	// Service reports whether the target is a plain service, not an engine.
 	Service bool
 }
 
-// Estimator knows the speed of one target.
+// Estimator estimates the speed of one target.
 type Estimator interface {
-	// FirstToken is the time to the first token of a request that starts now,
-	// behind queuedPrefill prompt tokens and beside inFlight others.
+	// FirstToken returns the time to the first token of a request that starts
+	// now, behind queuedPrefill prompt tokens and beside inFlight other requests.
 	FirstToken(prompt, cached, queuedPrefill, inFlight int) time.Duration
-	// Total is the time to the whole answer.
+	// Total returns the time to the complete answer.
 	Total(prompt, cached, maxTokens, queuedPrefill, inFlight int) time.Duration
-	// Limit is how many requests the target should hold; 0: no opinion.
+	// Limit returns how many requests the target should hold, or 0 if there is
+	// no estimate.
 	Limit() int
-	// Straggler: the target is much slower than its kind or its own past.
+	// Straggler reports whether the target is much slower than others of its
+	// class or than its own history.
 	Straggler() bool
-	// Observe takes what a run showed.
+	// Observe records the measurements of a run.
 	Observe(now time.Time, s message.Sample)
 }
 
@@ -98,93 +108,93 @@
 	Message message.Message
 }
 
-// Scheduler schedules the targets placed at this entry. It is not safe for
+// Scheduler schedules the targets assigned to this entry. It is not safe for
 // concurrent use. Returned effects belong to the caller.
 type Scheduler struct {
-	self       ident.Incarnation
-	random     *rand.Rand
-	estimators func(Target) Estimator
-	set        Settings
-	now        time.Time
-	quorum     bool
-	targets    map[string]*target
-	pools      map[string][]*target // each sorted by name
-	floors     *floors.Floors
-	holdings   map[holdKey]*holding
-	holdKeys   []holdKey // sorted
-	timers     timers
-	members    []ident.Incarnation
-	reports    reportBuffer
-	early      earlyFull
-	// parted is until when a pool counts as having lower work left, since a
-	// target of it was handed over.
-	parted map[string]time.Time
-	out    []Effect
+	self        ident.Incarnation
+	random      *rand.Rand
+	estimators  func(Target) Estimator
+	settings    Settings
+	now         time.Time
+	quorum      bool
+	targets     map[string]*target
+	pools       map[string][]*target // each sorted by name
+	floors      *floors.Floors
+	held        map[heldKey]*heldGroup
+	heldKeys    []heldKey // sorted
+	timers      timers
+	members     []ident.Incarnation
+	reports     reportBuffer
+	fullReports fullReportBuffer
+	// handedOverUntil is, by pool, the time until which the pool counts as having
+	// lower work left because one of its targets was handed over.
+	handedOverUntil map[string]time.Time
+	effects         []Effect
 }
 
-// New returns a scheduler without targets. seed feeds its jitter. estimators
-// may be nil, or return nil for a target: then the document's figures serve.
+// New returns a scheduler without targets. seed seeds its jitter. If estimators
+// is nil or returns nil for a target, estimates use the document's figures.
 func New(self ident.Incarnation, seed uint64, estimators func(target Target) Estimator) *Scheduler {
 	return &Scheduler{
-		self:       self,
-		random:     rand.New(rand.NewPCG(seed, seed)),
-		estimators: estimators,
-		quorum:     true,
-		targets:    make(map[string]*target),
-		pools:      make(map[string][]*target),
-		floors:     floors.New(),
-		holdings:   make(map[holdKey]*holding),
-		timers:     newTimers(),
-		early:      make(earlyFull),
-		parted:     make(map[string]time.Time),
+		self:            self,
+		random:          rand.New(rand.NewPCG(seed, seed)),
+		estimators:      estimators,
+		quorum:          true,
+		targets:         make(map[string]*target),
+		pools:           make(map[string][]*target),
+		floors:          floors.New(),
+		held:            make(map[heldKey]*heldGroup),
+		timers:          newTimers(),
+		fullReports:     make(fullReportBuffer),
+		handedOverUntil: make(map[string]time.Time),
 	}
 }
 
-// Configure puts settings in force for all that is decided from now on.
+// Configure applies new settings to all later decisions.
 func (s *Scheduler) Configure(now time.Time, set Settings) {
-	s.tick(now)
-	s.set = set
+	s.advance(now)
+	s.settings = set
 	s.floors.Configure(set.Floor, set.Silence, set.Tiers)
 }
 
-// SetMembers says whose Running reports a takeover waits for. Optional: without
-// it a takeover lasts the whole wait.
+// SetMembers sets the members whose Running reports a takeover waits for.
+// Without members, a takeover lasts for the full wait.
 func (s *Scheduler) SetMembers(now time.Time, members []ident.Incarnation) {
-	s.tick(now)
+	s.advance(now)
 	s.members = slices.Clone(members)
 }
 
-// SetTargets says which targets are placed at this entry now. Owners whose
-// offers waited at a target that was taken away get a Refuse for which Moved
-// is true, and offer again to its new scheduler.
+// SetTargets replaces the list of targets that this entry schedules. Owners
+// whose offers waited at a target that is no longer listed receive a Refuse for
+// which Moved is true, and offer again to its new scheduler.
 func (s *Scheduler) SetTargets(now time.Time, list []Target) []Effect {
-	s.tick(now)
+	s.advance(now)
 	next := make(map[string]Target, len(list))
 	for _, t := range list {
 		next[t.Name] = t
 	}
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		if _, stays := next[name]; !stays {
 			s.handOver(s.targets[name])
 		}
 	}
-	for _, name := range sortedNames(next) {
-		s.place(next[name])
+	for _, name := range sortedKeys(next) {
+		s.addTarget(next[name])
 	}
 	s.indexPools()
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		s.fill(s.targets[name])
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
-// Moved reports whether a refusal only says that the target has another
-// scheduler now: the owner offers again to that one, as if never refused.
+// Moved reports whether a refusal only announces that the target has another
+// scheduler now. The owner offers again to that scheduler, as if never refused.
 func Moved(r message.Refuse) bool {
 	return r.Reason == outcome.ReasonNone && r.Elsewhere == r.Target
 }
 
-func (s *Scheduler) place(desc Target) {
+func (s *Scheduler) addTarget(desc Target) {
 	if t := s.targets[desc.Name]; t != nil {
 		t.desc = desc
 		return
@@ -192,7 +202,7 @@
 	t := newTarget(s, desc)
 	s.targets[desc.Name] = t
 	s.reports.apply(s, t)
-	s.early.apply(s, t)
+	s.fullReports.apply(s, t)
 }
 
 func (s *Scheduler) handOver(t *target) {
@@ -202,50 +212,53 @@
 	for _, r := range t.sortedRuns() {
 		t.endRun(r)
 	}
-	s.parted[t.desc.Pool] = s.now.Add(s.set.Silence)
+	s.handedOverUntil[t.desc.Pool] = s.now.Add(s.settings.Silence)
 	delete(s.targets, t.desc.Name)
 }
 
 func (s *Scheduler) indexPools() {
 	clear(s.pools)
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		t := s.targets[name]
 		s.pools[t.desc.Pool] = append(s.pools[t.desc.Pool], t)
 	}
 }
 
-// SetPool says which other entries schedule targets of a pool.
+// SetPool sets the other entries that schedule targets of a pool.
 func (s *Scheduler) SetPool(pool string, others []ident.Incarnation) {
 	others = slices.DeleteFunc(slices.Clone(others), func(x ident.Incarnation) bool { return x == s.self })
 	s.floors.SetPool(s.now, pool, others)
 }
 
-// SetQuorum says whether this entry is in touch with more than half of the
-// known members. Without it only the top tier is served here: the others count
-// our silence as just that when they refuse higher work.
+// SetQuorum sets whether this entry has contact with more than half of the
+// known members. Without a quorum only the top tier is served here: other
+// schedulers rely on that when they refuse higher work without a reply from
+// this one.
 func (s *Scheduler) SetQuorum(now time.Time, ok bool) {
-	s.tick(now)
+	s.advance(now)
 	s.quorum = ok
 }
 
-// Scale uses only a fixed share of a target's limit, at least one place; for
-// the baselines and for entries that lost the scheduler. 1 is the whole.
+// Scale restricts a target to a fixed share of its limit, at least one slot. It
+// is for policies without a scheduler and for entries that lost contact with
+// the scheduler. 1 is the full limit.
 func (s *Scheduler) Scale(name string, share float64) {
 	if t := s.targets[name]; t != nil {
-		t.share = share
+		t.limitShare = share
 	}
 }
 
-// SetAvailable says whether a target may get work. One that leaves or died
-// grants nothing more; what waits there is refused, so that owners try others.
+// SetAvailable sets whether a target accepts work. At a target that is leaving
+// or has terminated nothing more is granted, and waiting offers are refused so
+// that their owners try other targets.
 func (s *Scheduler) SetAvailable(now time.Time, name string, available bool) []Effect {
-	s.tick(now)
+	s.advance(now)
 	t := s.targets[name]
 	if t == nil || t.available == available {
-		return s.take()
+		return s.takeEffects()
 	}
 	s.setAvailable(t, available)
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) setAvailable(t *target, available bool) {
@@ -259,22 +272,24 @@
 	}
 }
 
-// Tick lets time pass: grants and offers lapse, exchanges end, retries begin.
+// Tick advances the time: grants and offers expire, exchanges end, retries
+// begin.
 func (s *Scheduler) Tick(now time.Time) []Effect {
-	s.tick(now)
+	s.advance(now)
 	s.applyQuorum()
-	s.verdicts(s.floors.Tick(s.now))
+	s.handleResults(s.floors.Tick(s.now))
 	s.timers.run(s)
-	s.retryHoldings()
+	s.retryHeld()
 	for _, list := range s.poolLists() {
 		for _, t := range list {
 			s.fill(t)
 		}
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
-// applyQuorum refuses what waits below the top tier while out of touch.
+// applyQuorum refuses offers that wait below the top tier while there is no
+// quorum.
 func (s *Scheduler) applyQuorum() {
 	if s.quorum {
 		return
@@ -292,30 +307,30 @@
 
 func (s *Scheduler) poolLists() [][]*target {
 	lists := make([][]*target, 0, len(s.pools))
-	for _, name := range sortedNames(s.pools) {
+	for _, name := range sortedKeys(s.pools) {
 		lists = append(lists, s.pools[name])
 	}
 	return lists
 }
 
-// tick moves the scheduler's time on; it never goes back.
-func (s *Scheduler) tick(now time.Time) {
+// advance moves the scheduler's time forward, never back.
+func (s *Scheduler) advance(now time.Time) {
 	if now.After(s.now) {
 		s.now = now
 	}
 }
 
 func (s *Scheduler) send(to ident.Incarnation, m message.Message) {
-	s.out = append(s.out, Effect{To: to, Message: m})
+	s.effects = append(s.effects, Effect{To: to, Message: m})
 }
 
-func (s *Scheduler) take() []Effect {
-	out := s.out
-	s.out = nil
+func (s *Scheduler) takeEffects() []Effect {
+	out := s.effects
+	s.effects = nil
 	return out
 }
 
-func sortedNames[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
 
--- a/internal/core/scheduler/script_test.go
+++ b/internal/core/scheduler/script_test.go
@@ -20,20 +20,20 @@
 	RunSpecs(t, "scheduler")
 }
 
-// cluster is a few schedulers whose floor messages reach each other at once,
-// unless their link is cut. Scripts drive it, one step a line:
+// cluster is a set of schedulers that exchange floor messages without delay,
+// unless the link between them is partitioned. A script has one step per line:
 //
-//	<scheduler> <verb> <words> => <what owners are told>; ...
+//	<scheduler> <verb> <words> => <messages to owners>; ...
 //	wait <duration> => ...
 //	cut <a> <b>
 type cluster struct {
-	now        time.Time
-	names      []ident.Incarnation
-	schedulers map[ident.Incarnation]*Scheduler
-	cut        map[ident.Incarnation]bool
-	asks       uint64
-	told       []string
-	floorAsks  int
+	now         time.Time
+	names       []ident.Incarnation
+	schedulers  map[ident.Incarnation]*Scheduler
+	partitioned map[ident.Incarnation]bool
+	asks        uint64
+	sent        []string
+	floorAsks   int
 }
 
 func testSettings() Settings {
@@ -44,10 +44,10 @@
 	}
 }
 
-// newCluster starts one scheduler for each description "name: target/places
-// ...", all targets in one pool, with takeovers over.
+// newCluster starts one scheduler for each description "name: target/slots ...".
+// All targets are in one pool, and their takeovers are complete.
 func newCluster(set Settings, descriptions ...string) *cluster {
-	c := &cluster{now: time.Unix(1e6, 0), schedulers: map[ident.Incarnation]*Scheduler{}, cut: map[ident.Incarnation]bool{}}
+	c := &cluster{now: time.Unix(1e6, 0), schedulers: map[ident.Incarnation]*Scheduler{}, partitioned: map[ident.Incarnation]bool{}}
 	for _, d := range descriptions {
 		name, _, _ := strings.Cut(d, ":")
 		c.names = append(c.names, ident.Incarnation(name))
@@ -82,10 +82,10 @@
 			continue
 		}
 		step, want, checked := strings.Cut(line, "=>")
-		c.told = nil
+		c.sent = nil
 		c.step(strings.Fields(step))
 		if checked {
-			Expect(strings.Join(c.told, "; ")).To(Equal(strings.TrimSpace(want)), line)
+			Expect(strings.Join(c.sent, "; ")).To(Equal(strings.TrimSpace(want)), line)
 		}
 	}
 }
@@ -95,8 +95,8 @@
 	case "wait":
 		c.wait(duration(words[1]))
 	case "cut":
-		c.cut[ident.Incarnation(words[1]+words[2])] = true
-		c.cut[ident.Incarnation(words[2]+words[1])] = true
+		c.partitioned[ident.Incarnation(words[1]+words[2])] = true
+		c.partitioned[ident.Incarnation(words[2]+words[1])] = true
 	default:
 		name := ident.Incarnation(words[0])
 		c.deliver(name, c.act(c.schedulers[name], words[1], words[2:]))
@@ -109,8 +109,8 @@
 	return d
 }
 
-// wait lets time pass in ticks of 20 ms, without what the waiting offers'
-// owners would send.
+// wait advances the time in ticks of 20 ms, without refreshes by the owners of
+// waiting offers.
 func (c *cluster) wait(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = earliest(end, c.now.Add(20*time.Millisecond))
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// offer forms an offer from words: id target [tier=n] [prompt=n] [for=d]
+// offer builds an offer from words: id target [tier=n] [prompt=n] [for=d]
 // [first=d] [org=x] [final] [once] [alone].
 func (c *cluster) offer(words []string) message.Offer {
 	c.asks++
@@ -197,7 +197,7 @@
 	return n
 }
 
-// deliver carries floor messages on, in order, and notes what owners are told.
+// deliver passes floor messages on in order, and records the messages to owners.
 func (c *cluster) deliver(from ident.Incarnation, effects []Effect) {
 	type sent struct {
 		from ident.Incarnation
@@ -211,7 +211,7 @@
 	}
 	for post(from, effects); len(wire) > 0; wire = wire[1:] {
 		e := wire[0]
-		if c.cut[e.from+e.To] {
+		if c.partitioned[e.from+e.To] {
 			continue
 		}
 		switch m := e.Message.(type) {
@@ -221,7 +221,7 @@
 		case message.FloorReply:
 			post(e.To, c.schedulers[e.To].FloorReply(c.now, e.from, m))
 		default:
-			c.told = append(c.told, describe(m))
+			c.sent = append(c.sent, describe(m))
 		}
 	}
 }
--- a/internal/core/scheduler/shed.go
+++ b/internal/core/scheduler/shed.go
@@ -8,8 +8,8 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// minHeld is the least number of offers that may be held per pool and tier.
-const minHeld = 16
+// minHeldLimit is the lower bound of the limit on held offers per pool and tier.
+const minHeldLimit = 16
 
 // refusal is the content of a Refuse.
 type refusal struct {
@@ -18,7 +18,7 @@
 	elsewhere string
 }
 
-// refuse answers an offer and forgets it.
+// refuse answers an offer with a refusal and removes it.
 func (s *Scheduler) refuse(o *offer, why refusal) {
 	m := message.Refuse{
 		ID:        o.ID,
@@ -34,20 +34,22 @@
 	s.send(o.from, m)
 }
 
-// refuseForLoad turns an offer away for want of capacity: for good where a
-// floor allows it, else to the owner's other targets, or, if it has none, into
-// the exchange with the other schedulers of the pool.
+// refuseForLoad handles an offer for which there is no capacity. The owner is
+// sent to its other targets. If it has none, the refusal is settled where a
+// floor allows it, or else the offer is held for an exchange with the other
+// schedulers of the pool.
 func (s *Scheduler) refuseForLoad(o *offer, reason outcome.Reason) {
 	o.target.queue.Remove(&o.Item)
 	o.reason = reason
 	switch {
 	case !s.quorum:
-		// Cut off, we can't know what others serve; their silence proves
-		// nothing, since it may be ours. So the cause is not load.
-		s.refuse(o, refusal{reason: outcome.ReasonNotReady, settled: o.lastWord})
-	case !s.isLast(o):
-		// Also under a floor: it says that nothing lower is served, not that no
-		// target has room for this one.
+		// Without a quorum this scheduler can't know what others serve: missing
+		// replies prove nothing, since this entry may be the one that is partitioned.
+		// So the reason given is not load.
+		s.refuse(o, refusal{reason: outcome.ReasonNotReady, settled: o.final})
+	case !s.isFinal(o):
+		// This applies under a floor too: it means that nothing lower is served, not
+		// that no target has capacity for this offer.
 		s.refuse(o, refusal{reason: reason})
 	case s.floors.MayRefuse(s.now, o.target.desc.Pool, o.Tier):
 		s.refuse(o, refusal{reason: reason, settled: true})
@@ -56,55 +58,55 @@
 	}
 }
 
-// FloorAsk answers another scheduler that must refuse tier t: by a target of
-// ours that can take the request, or by the promise to admit nothing lower.
+// FloorAsk answers another scheduler that has to refuse a tier: with a target
+// here that can accept the request, or with the promise to admit nothing lower.
 func (s *Scheduler) FloorAsk(now time.Time, from identity, a message.FloorAsk) []Effect {
-	s.tick(now)
+	s.advance(now)
 	reply := message.FloorReply{Seq: a.Seq, Pool: a.Pool, Tier: a.Tier}
-	if room, cost := s.room(a.Pool, a.Need, nil, roomByPreemption); room != nil {
-		reply.Room = room.desc.Name
+	if best, cost := s.findCapacity(a.Pool, a.Need, nil, capacityByPreemption); best != nil {
+		reply.Room = best.desc.Name
 		reply.Cost = cost
 		s.send(from, reply)
-		return s.take()
+		return s.takeEffects()
 	}
 	reply.Valid = s.floors.Promise(s.now, a.Pool, a.Tier, a.For)
 	if a.Last {
-		reply.Cutting, reply.Dear = s.yield(a.Pool, a.Tier, spared(a.Late, a.Need))
+		reply.Cutting, reply.Dear = s.preemptLower(a.Pool, a.Tier, maxPreemptionCost(a.Late, a.Need))
 	}
-	reply.Lower = s.lowerLeft(a.Pool, a.Tier)
+	reply.Lower = s.lowerWorkLeft(a.Pool, a.Tier)
 	s.send(from, reply)
-	s.flush(a.Pool)
-	return s.take()
+	s.refuseBelowFloor(a.Pool)
+	return s.takeEffects()
 }
 
-// FloorReply takes an answer to our own ask.
+// FloorReply handles the reply to a request of this scheduler.
 func (s *Scheduler) FloorReply(now time.Time, from identity, r message.FloorReply) []Effect {
-	s.tick(now)
-	s.verdicts(s.floors.Reply(s.now, from, r))
-	return s.take()
+	s.advance(now)
+	s.handleResults(s.floors.Reply(s.now, from, r))
+	return s.takeEffects()
 }
 
-func (s *Scheduler) verdicts(list []verdict) {
+func (s *Scheduler) handleResults(list []exchangeResult) {
 	for _, v := range list {
-		h := s.holdings[holdKey{pool: v.Pool, tier: v.Tier}]
+		h := s.held[heldKey{pool: v.Pool, tier: v.Tier}]
 		if h == nil {
 			continue
 		}
 		if v.Target != "" {
-			s.sendElsewhere(h, v)
+			s.redirect(h, v)
 		}
 		if v.Ended {
-			s.exchangeOver(h, v)
+			s.exchangeEnded(h, v)
 		}
 	}
 }
 
-func (s *Scheduler) sendElsewhere(h *holding, v verdict) {
-	o := h.pick(s.now, s.set.tripTime())
+func (s *Scheduler) redirect(h *heldGroup, v exchangeResult) {
+	o := h.pick(s.now, s.settings.tripTime())
 	switch {
 	case o == nil:
-	case !s.worth(o, v.Cost):
-		h.rest = earliest(o.costlyAt(s), s.now.Add(s.set.tripTime()))
+	case !s.worthwhile(o, v.Cost):
+		h.backoffUntil = earliest(o.expensivePreemptAt(s), s.now.Add(s.settings.tripTime()))
 	case o.target.desc.Name == v.Target:
 		s.preemptHere(o)
 	default:
@@ -112,67 +114,70 @@
 	}
 }
 
-// exchangeOver refuses what was held if the floor stands and nothing lower is
-// left; else the offers go on waiting, or ask again.
-func (s *Scheduler) exchangeOver(h *holding, v verdict) {
+// exchangeEnded refuses the held offers if the floor is in force and no lower
+// work is left. Otherwise the offers continue to wait, or start another
+// exchange.
+func (s *Scheduler) exchangeEnded(h *heldGroup, v exchangeResult) {
 	if !v.InForce {
-		s.ask(h)
+		s.startExchange(h)
 		s.fillPool(h.key.pool)
 		return
 	}
-	cutting, dear := v.Preempting, v.Spared
-	if h.cut && h.need != nil {
-		own, spares := s.yield(h.key.pool, h.key.tier, spared(h.late, h.need.msg))
-		cutting, dear = cutting || own, dear || spares
+	preempting, spared := v.Preempting, v.Spared
+	if h.preemptsLower && h.need != nil {
+		ownPreempting, ownSpared := s.preemptLower(h.key.pool, h.key.tier, maxPreemptionCost(h.allowsLate, h.need.msg))
+		preempting, spared = preempting || ownPreempting, spared || ownSpared
 	}
-	if s.lowerLeft(h.key.pool, h.key.tier) {
+	if s.lowerWorkLeft(h.key.pool, h.key.tier) {
 		s.floors.MarkLowerWork(h.key.pool, h.key.tier)
 	}
-	s.flush(h.key.pool)
+	s.refuseBelowFloor(h.key.pool)
 	settled := s.floors.MayRefuse(s.now, h.key.pool, h.key.tier)
 	until, _ := s.floors.InForce(s.now, h.key.pool, h.key.tier)
-	h.again = s.now.Add(until.Sub(s.now) / 4 * 3) // renewed before its end
+	h.nextExchange = s.now.Add(until.Sub(s.now) / 4 * 3) // renewed before its end
 	if !settled {
-		h.again = s.now.Add(s.set.tripTime())
-		if cutting {
-			h.again = s.now.Add(s.set.tripTime() / cutLooks)
+		h.nextExchange = s.now.Add(s.settings.tripTime())
+		if preempting {
+			h.nextExchange = s.now.Add(s.settings.tripTime() / preemptionPolls)
 		}
 	}
 	for _, o := range slices.Clone(h.offers) {
 		switch {
-		case o.gone || o.Waiting():
-		case o.doomed && dear && s.serveLate(o):
-		case o.doomed && h.cut && !cutting:
-			// What is left can't be cancelled; it was waited for.
+		case o.removed || o.Waiting():
+		case o.expired && spared && s.waiveFirstToken(o):
+		case o.expired && h.preemptsLower && !preempting:
+			// Lower runs that are left can't be cancelled; the offer has waited for
+			// their end.
 			s.refuse(o, refusal{reason: o.reason, settled: true})
 		case s.readmit(o):
 		case settled:
 			s.refuseForLoad(o, o.reason)
 		}
 	}
-	if !h.cut && h.last() {
-		s.ask(h)
+	if !h.preemptsLower && h.hasExpired() {
+		s.startExchange(h)
 	}
 	s.fillPool(h.key.pool)
 }
 
-// readmit lets a held offer into its target's queue, if it may be served there
-// in time and the queue has room now.
+// readmit moves a held offer into its target's queue if it can be served there
+// in time and the queue is not full.
 func (s *Scheduler) readmit(o *offer) bool {
 	t := o.target
-	if o.doomed || o.Waiting() || !t.available || !s.admissible(o) || t.late(o, t.wait(o)) {
+	if o.expired || o.Waiting() || !t.available || !s.admissible(o) || t.missesDeadline(o, t.wait(o)) {
 		return false
 	}
-	if t.queue.Len() >= max(1, s.set.QueuePerTarget) {
+	if t.queue.Len() >= max(1, s.settings.QueuePerTarget) {
 		return false
 	}
-	s.release(o)
+	s.unhold(o)
 	t.queue.Push(&o.Item)
 	return true
 }
 
-// flush refuses what waits below the floor at our targets of a pool.
-func (s *Scheduler) flush(pool string) {
+// refuseBelowFloor refuses offers that wait below the floor at this scheduler's
+// targets of a pool.
+func (s *Scheduler) refuseBelowFloor(pool string) {
 	floor := s.floors.Admission(s.now, pool).Floor
 	for _, t := range s.pools[pool] {
 		for _, it := range t.queue.Below(floor) {
@@ -189,33 +194,35 @@
 	}
 }
 
-// easeQueue cuts a lower run for a newcomer that makes the queue of its tier and
-// above too long for the last in it, if the run has cost less than the newcomer
-// brings. The newcomer may be in time by fairness; then it is another who isn't.
-func (s *Scheduler) easeQueue(o *offer) {
+// preemptForQueue cancels a lower run if a new offer makes the queue of its tier
+// and above too long for the last offer to be in time, and the run has computed
+// no more tokens than the new offer requests. Fairness may let the new offer be
+// served in time; in that case another one is late.
+func (s *Scheduler) preemptForQueue(o *offer) {
 	t := o.target
-	if o.gone || !o.Waiting() || !t.late(o, t.waitBehind(t.queue.CountAbove(o.Tier+1)-1, o.service)) {
+	if o.removed || !o.Waiting() || !t.missesDeadline(o, t.waitBehind(t.queue.CountAbove(o.Tier+1)-1, o.service)) {
 		return
 	}
-	if r := s.victimFor(o); r != nil && t.computed(r) <= o.Cost {
+	if r := s.victimFor(o); r != nil && t.computedTokens(r) <= o.Cost {
 		s.preempt(o)
 	}
 }
 
-// shedOne refuses one offer of a queue that a newcomer has made too long: the
-// lowest tier's last, which would have been served last; were it the oldest,
-// work nearest to being served would be lost. Within the newcomer's own tier
-// only another organisation's goes, or else one that floods the tier would
-// keep the others out of the queue, where fairness could not reach them.
-func (s *Scheduler) shedOne(newcomer *offer) {
-	last := newcomer.target.offers[newcomer.target.queue.Last().ID]
+// shedOne refuses one offer of a queue that a new offer has made too long: the
+// last of the lowest tier, which would have been served last. Refusing the
+// oldest instead would discard the work closest to being served. Within the new
+// offer's own tier only an offer of another organisation is refused in its
+// place. Otherwise an organisation that floods the tier would keep others out of
+// the queue, where fair sharing does not apply to them.
+func (s *Scheduler) shedOne(added *offer) {
+	last := added.target.offers[added.target.queue.Last().ID]
 	switch {
-	case newcomer.Tier.Above(last.Tier):
+	case added.Tier.Above(last.Tier):
 		s.refuseForLoad(last, outcome.ReasonDisplaced)
-	case newcomer.preempting || s.preemptFor(newcomer):
-	case last.Tier == newcomer.Tier && last.Organisation != newcomer.Organisation:
+	case added.preempting || s.preemptIfFinal(added):
+	case last.Tier == added.Tier && last.Organisation != added.Organisation:
 		s.refuseForLoad(last, outcome.ReasonOverload)
 	default:
-		s.refuseForLoad(newcomer, outcome.ReasonOverload)
+		s.refuseForLoad(added, outcome.ReasonOverload)
 	}
 }
--- a/internal/core/scheduler/target.go
+++ b/internal/core/scheduler/target.go
@@ -10,79 +10,81 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// shortMemory is how long places are kept for short requests of a tier after
-// one was last offered. Without an end, a target that never sees a short
-// request would leave its kept places idle.
-const shortMemory = 10 * time.Second
+// shortRequestWindow is how long slots are reserved for short requests of a
+// tier after one was last offered. Without a limit, a target that receives no
+// short requests any more would leave its reserved slots idle.
+const shortRequestWindow = 10 * time.Second
 
 // target is one scheduled target.
 type target struct {
-	desc      Target
-	set       *Settings
-	clock     *time.Time
-	est       Estimator
-	queue     *queue.Queue
-	offers    map[ident.RequestID]*offer
-	runs      map[ident.RequestID]*run
-	may       func(*queue.Item) bool
-	available bool
-	share     float64
+	desc       Target
+	settings   *Settings
+	clock      *time.Time
+	estimator  Estimator
+	queue      *queue.Queue
+	offers     map[ident.RequestID]*offer
+	runs       map[ident.RequestID]*run
+	canStart   func(*queue.Item) bool
+	available  bool
+	limitShare float64
 
-	// added is when it was placed here; awaited are the members whose reports
-	// the takeover still waits for, nil once it is over.
+	// added is when the target was assigned to this scheduler. awaited are the
+	// members whose reports the takeover still waits for.
 	added    time.Time
 	takeover bool
 	awaited  map[ident.Incarnation]struct{}
 
-	// Sums over runs.
+	// Sums over runs; longRuns and suspects are counts.
 	prefill     int
 	prefillLong int
 	longRuns    int
 	suspects    int
 	pending     prefillBacklog
-	// hits is the part of prompts found cached, by tier and lane.
-	hits    map[hitKey]float64
-	service time.Duration
+	// cachedShare is the share of prompt tokens found cached, by tier and lane.
+	cachedShare  map[requestClass]float64
+	totalService time.Duration
 
-	// occupancy is the learned ratio of real to estimated time in place.
+	// occupancy is the learned ratio of actual to estimated time in a slot.
 	occupancy float64
-	// returns is when the last refused request was told to come back.
-	returns time.Time
-	// shortSeen is when a short request of each tier was last offered.
-	shortSeen []time.Time
-	// rooms are requests that were told of room here and have not come yet.
-	rooms map[ident.RequestID]expectation
-	// higherWaits reports whether work above a tier waits at a target of the pool
-	// that is scheduled here.
+	// lastRetryAt is the retry time that the last refused request was given.
+	lastRetryAt time.Time
+	// lastShort is when a short request of each tier was last offered.
+	lastShort []time.Time
+	// expectedOffers are requests that were directed to capacity here and have
+	// not been offered yet.
+	expectedOffers map[ident.RequestID]expectedOffer
+	// higherWaits reports whether work above a tier waits at any target of the
+	// pool that is scheduled here.
 	higherWaits func(request.Tier) bool
 	timers      *timers
-	past        lateReports
+	endedRuns   endedRuns
 }
 
-// expectation is a request that was told of room, until when it must come.
-type expectation struct {
+// expectedOffer is a request that was directed to a target. Its capacity is
+// reserved until the given time.
+type expectedOffer struct {
 	tier  request.Tier
 	until time.Time
-	// preempts: the room is to be made by preemption.
+	// preempts reports that its slot is to be freed by preemption.
 	preempts bool
 }
 
 func newTarget(s *Scheduler, desc Target) *target {
 	t := &target{
-		desc:      desc,
-		set:       &s.set,
-		clock:     &s.now,
-		offers:    make(map[ident.RequestID]*offer),
-		runs:      make(map[ident.RequestID]*run),
-		available: true,
-		share:     1,
-		added:     s.now,
-		takeover:  true,
-		awaited:   make(map[ident.Incarnation]struct{}, len(s.members)),
-		occupancy: 1,
-		hits:      make(map[hitKey]float64),
-		rooms:     make(map[ident.RequestID]expectation),
-		timers:    &s.timers,
+		desc:           desc,
+		settings:       &s.settings,
+		clock:          &s.now,
+		offers:         make(map[ident.RequestID]*offer),
+		runs:           make(map[ident.RequestID]*run),
+		available:      true,
+		limitShare:     1,
+		added:          s.now,
+		takeover:       true,
+		awaited:        make(map[ident.Incarnation]struct{}, len(s.members)),
+		occupancy:      1,
+		cachedShare:    make(map[requestClass]float64),
+		expectedOffers: make(map[ident.RequestID]expectedOffer),
+		timers:         &s.timers,
 	}
 	for _, m := range s.members {
 		t.awaited[m] = struct{}{}
@@ -91,18 +93,18 @@
 		t.awaited = nil
 	}
 	if s.estimators != nil {
-		t.est = s.estimators(desc)
+		t.estimator = s.estimators(desc)
 	}
-	if t.est == nil {
-		t.est = &figures{target: t}
+	if t.estimator == nil {
+		t.estimator = &staticEstimator{target: t}
 	}
 	t.queue = queue.New(func(org string) float64 {
-		if t.set.Weights == nil {
+		if t.settings.Weights == nil {
 			return 1
 		}
-		return t.set.Weights(org)
+		return t.settings.Weights(org)
 	})
-	t.may = t.mayStart
+	t.canStart = t.mayStart
 	t.higherWaits = func(tier request.Tier) bool {
 		for _, other := range s.pools[desc.Pool] {
 			if other.queue.CountAbove(tier) > 0 {
@@ -114,22 +116,23 @@
 	return t
 }
 
-// limit is how many requests the target may hold now.
+// limit returns how many requests the target may hold now.
 func (t *target) limit() int {
 	n := t.desc.MaxInFlight
-	if learned := t.est.Limit(); learned > 0 && learned < n {
+	if learned := t.estimator.Limit(); learned > 0 && learned < n {
 		n = learned
 	}
-	if t.share > 0 && t.share < 1 {
-		n = int(float64(n) * t.share)
+	if t.limitShare > 0 && t.limitShare < 1 {
+		n = int(float64(n) * t.limitShare)
 	}
 	return max(n, 1)
 }
 
-// open reports whether grants may be given: the target takes work, and a
-// takeover is over. Until then an unknown number of runs is there already; to
-// grant before they are known would fill the engine's own queue.
-func (t *target) open() bool {
+// acceptsGrants reports whether slots may be granted: the target is available
+// and no takeover is in progress. During a takeover the target has an unknown
+// number of runs, and granting before they are reported would fill the engine's
+// own queue.
+func (t *target) acceptsGrants() bool {
 	if !t.available {
 		return false
 	}
@@ -137,83 +140,86 @@
 		return true
 	}
 	waited := t.clock.Sub(t.added)
-	reported := t.awaited != nil && len(t.awaited) == 0 && waited >= t.set.Grant
-	if reported || waited >= t.set.Silence {
+	reported := t.awaited != nil && len(t.awaited) == 0 && waited >= t.settings.Grant
+	if reported || waited >= t.settings.Silence {
 		t.takeover = false
 	}
 	return !t.takeover
 }
 
-// opensIn is the rest of the takeover's wait.
-func (t *target) opensIn() time.Duration {
+// takeoverWait returns the remaining wait of a takeover.
+func (t *target) takeoverWait() time.Duration {
 	if !t.takeover {
 		return 0
 	}
-	return max(0, t.set.Silence-t.clock.Sub(t.added))
+	return max(0, t.settings.Silence-t.clock.Sub(t.added))
 }
 
-// lowest is the lowest tier that this target may be granted for reasons of its
-// own: only the top one until a floor that the former scheduler may have
-// promised has ended.
-func (t *target) lowest() request.Tier {
-	if t.clock.Sub(t.added) < t.set.Floor {
+// takeoverFloor returns the lowest tier that may be granted after a takeover:
+// only the top tier until a floor that the previous scheduler may have promised
+// has ended.
+func (t *target) takeoverFloor() request.Tier {
+	if t.clock.Sub(t.added) < t.settings.Floor {
 		return topTier
 	}
 	return ^request.Tier(0)
 }
 
-// mayStart reports whether a waiting item fits beside what runs, apart from
-// the number of places. See the package's notes on short and long.
+// mayStart reports whether a waiting item may start beside the current runs,
+// regardless of the number of free slots.
 func (t *target) mayStart(it *queue.Item) bool {
 	switch it.Lane {
 	case queue.Suspect:
-		return t.suspects == 0 && t.fitsPrefill(it)
+		return t.suspects == 0 && t.fitsPrefillBudget(it)
 	case queue.Long:
-		// One at a time where short ones come: the engine computes prompts in their
-		// order of arrival, so a second brief wins nothing by being there, and a
-		// short request would wait for both.
-		if t.prefillLong > 0 && t.shortCome(it.Tier) {
+		// Where short requests arrive, only one long prompt is computed at a time:
+		// the engine computes prompts in order of arrival, so a second long prompt
+		// would gain nothing, and a short request would wait for both.
+		if t.prefillLong > 0 && t.shortExpected(it.Tier) {
 			return false
 		}
-		// Not where nothing runs: the next event there may be a long time off.
+		// If nothing runs here, the item may start regardless of higher work: it may
+		// take long until the next event retries it.
 		if len(t.runs) > 0 && t.higherWaits(it.Tier) {
 			return false
 		}
-		return t.fitsPrefill(it) && t.longRuns < t.longPlaces(it.Tier) && !t.delays(it)
+		return t.fitsPrefillBudget(it) && t.longRuns < t.longSlots(it.Tier) && !t.causesDeadlineMiss(it)
 	}
-	return t.fitsPrefill(it)
+	return t.fitsPrefillBudget(it)
 }
 
-// longPlaces is how many long requests of a tier the target may hold. Places
-// are kept from them only for short requests of their own tier or above that
-// were offered lately: a higher tier is never made to wait for a lower one.
-func (t *target) longPlaces(tier request.Tier) int {
+// longSlots returns how many long requests of a tier the target may hold. Slots
+// are reserved only for short requests of the same tier or above that were
+// offered recently, so that a higher tier never waits for a lower one.
+func (t *target) longSlots(tier request.Tier) int {
 	limit := t.limit()
-	if t.shortCome(tier) {
-		return max(1, limit-int(float64(limit)*t.set.ShortShare))
+	if t.shortExpected(tier) {
+		return max(1, limit-int(float64(limit)*t.settings.ShortShare))
 	}
 	return limit
 }
 
-// shortCome reports whether short requests of a tier or above were offered lately.
-func (t *target) shortCome(tier request.Tier) bool {
-	for i := 0; i < len(t.shortSeen) && i <= int(tier); i++ {
-		seen := t.shortSeen[i]
-		if !seen.IsZero() && t.clock.Sub(seen) < shortMemory {
+// shortExpected reports whether short requests of a tier or above were offered
+// recently.
+func (t *target) shortExpected(tier request.Tier) bool {
+	for i := 0; i < len(t.lastShort) && i <= int(tier); i++ {
+		seen := t.lastShort[i]
+		if !seen.IsZero() && t.clock.Sub(seen) < shortRequestWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// fitsPrefill applies the prefill budget. Long prompts leave the short ones'
-// share free; a prompt greater than the budget runs when no other is computed.
-func (t *target) fitsPrefill(it *queue.Item) bool {
-	budget := t.set.PrefillBudget
+// fitsPrefillBudget reports whether an item fits into the prefill budget. Long
+// prompts leave the share of short ones free. A prompt larger than its budget
+// may start while no other long prompt is being computed.
+func (t *target) fitsPrefillBudget(it *queue.Item) bool {
+	budget := t.settings.PrefillBudget
 	if budget <= 0 || t.prefill == 0 {
 		return true
 	}
-	kept := int(float64(budget) * t.set.ShortShare)
+	kept := int(float64(budget) * t.settings.ShortShare)
 	if it.Lane == queue.Long {
 		return t.prefillLong == 0 && it.Prompt > budget-kept || t.prefillLong+it.Prompt <= budget-kept
 	}
@@ -221,21 +227,21 @@
 	return t.prefill+it.Prompt <= budget || short+it.Prompt <= kept
 }
 
-func (t *target) lane(prompt int, alone, service bool) queue.Lane {
+func (t *target) lane(prompt int, isolated, service bool) queue.Lane {
 	switch {
-	case alone:
+	case isolated:
 		return queue.Suspect
-	case service || t.set.ShortPromptTokens <= 0 || prompt <= t.set.ShortPromptTokens:
+	case service || t.settings.ShortPromptTokens <= 0 || prompt <= t.settings.ShortPromptTokens:
 		return queue.Short
 	}
 	return queue.Long
 }
 
-func (t *target) sawShort(tier request.Tier) {
-	for len(t.shortSeen) <= int(tier) {
-		t.shortSeen = append(t.shortSeen, time.Time{})
+func (t *target) noteShort(tier request.Tier) {
+	for len(t.lastShort) <= int(tier) {
+		t.lastShort = append(t.lastShort, time.Time{})
 	}
-	t.shortSeen[tier] = *t.clock
+	t.lastShort[tier] = *t.clock
 }
 
 func (t *target) sortedOffers() []*offer {
--- a/internal/core/scheduler/timer.go
+++ b/internal/core/scheduler/timer.go
@@ -6,16 +6,16 @@
 	"sycamoretrail/internal/core/heap"
 )
 
-// timed is something that wants to be looked at when its time comes.
+// timed is an object with a timer.
 type timed interface {
 	timerOf() *timer
-	// fire is called once its time has come; it returns the next time, or the
-	// zero time when it needs none or is gone.
+	// fire is called when the timer is due. It returns the next time, or the zero
+	// time if the timer is not needed any more.
 	fire(s *Scheduler) time.Time
 }
 
-// timer is the place of a timed thing among the timers; each has at most one,
-// so the memory is bounded by what is alive.
+// timer is the heap entry of a timed object. Each object has at most one, so
+// memory is bounded by the number of live objects.
 type timer struct {
 	at    time.Time
 	seq   uint64
@@ -57,8 +57,8 @@
 	}
 }
 
-// run fires all that is due. What a fire puts off to an instant that has
-// passed already is left for the next run, so that this one ends.
+// run fires all timers that are due. A timer that is rescheduled to a time in
+// the past fires in the next run, so that this one ends.
 func (ts *timers) run(s *Scheduler) {
 	var due []timed
 	for ts.heap.Len() > 0 && !ts.heap.Top().at.After(s.now) {
--- a/internal/core/scheduler/view.go
+++ b/internal/core/scheduler/view.go
@@ -7,11 +7,11 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Digests tells of the targets scheduled here, sorted by name.
+// Digests returns the state of the targets scheduled here, sorted by name.
 func (s *Scheduler) Digests(now time.Time) []message.Digest {
-	s.tick(now)
+	s.advance(now)
 	list := make([]message.Digest, 0, len(s.targets))
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		list = append(list, s.targets[name].digest())
 	}
 	return list
@@ -26,10 +26,10 @@
 		Queued:         t.queue.Len(),
 		QueuedPrefill:  t.backlog(),
 		WaitingPrefill: t.queue.PromptTokens(),
-		Waits:          t.waits(),
+		Waits:          t.waitsByTier(),
 		PrefillRate:    rate,
 		StepTime:       step,
-		Available:      t.available && !t.est.Straggler(),
+		Available:      t.available && !t.estimator.Straggler(),
 		LowestTier:     t.lowestHeld(),
 		Wait:           t.lowestWait(),
 	}
@@ -46,46 +46,48 @@
 	return low
 }
 
-// TargetView is what operators see of a target.
+// TargetView is the state of a target as reported to operators.
 type TargetView struct {
 	Name, Pool string
 	Available  bool
 	Straggler  bool
-	// Takeover: no grants yet, the owners' reports are awaited.
+	// Takeover reports that nothing is granted yet, since the owners' reports are
+	// outstanding.
 	Takeover bool
 	Limit    int
 	InFlight int
-	// Granted is the part of InFlight that no owner has reported yet.
+	// Granted is the number of InFlight that no owner has reported yet.
 	Granted    int
 	Preempting int
 	Suspects   int
-	// Queued counts waiting offers by tier; Held those that wait for an
-	// exchange, outside the queue.
+	// Queued is the number of waiting offers by tier, Held the number of those
+	// that wait outside the queue for the end of an exchange.
 	Queued  []int
 	Held    int
 	Prefill int
-	// Floor is the lowest tier admitted; floors.NoFloor: no floor.
+	// Floor is the lowest tier admitted, or floors.NoFloor.
 	Floor request.Tier
 	Wait  time.Duration
 }
 
-// Inspect tells operators of the targets scheduled here, sorted by name.
+// Inspect returns the operators' view of the targets scheduled here, sorted by
+// name.
 func (s *Scheduler) Inspect(now time.Time) []TargetView {
-	s.tick(now)
+	s.advance(now)
 	list := make([]TargetView, 0, len(s.targets))
-	for _, name := range sortedNames(s.targets) {
+	for _, name := range sortedKeys(s.targets) {
 		list = append(list, s.inspect(s.targets[name]))
 	}
 	return list
 }
 
 func (s *Scheduler) inspect(t *target) TargetView {
-	open := t.open()
+	open := t.acceptsGrants()
 	v := TargetView{
 		Name:      t.desc.Name,
 		Pool:      t.desc.Pool,
 		Available: t.available,
-		Straggler: t.est.Straggler(),
+		Straggler: t.estimator.Straggler(),
 		Takeover:  t.available && !open,
 		Limit:     t.limit(),
 		InFlight:  len(t.runs),
