--- a/internal/core/estimate/limit.go
+++ b/internal/core/estimate/limit.go
@@ -32,8 +32,8 @@
 	cooldown int32
 }
 
-func newLimiter(most int) limiter {
-	return limiter{slots: float32(most), maxSlots: float32(most)}
+func newLimiter(maxSlots int) limiter {
+	return limiter{slots: float32(maxSlots), maxSlots: float32(maxSlots)}
 }
 
 func (l *limiter) value() int { return max(int(l.slots), 1) }
--- a/internal/core/floors/floors.go
+++ b/internal/core/floors/floors.go
@@ -102,8 +102,9 @@
 	// computed by the run that has to be cancelled there, or 0 if none has to be.
 	Target string
 	Cost   int
-	// Ended reports that all schedulers have replied or timed out, InForce that
-	// all of them promised the floor.
+	// Ended reports that all schedulers have replied or timed out. InForce reports
+	// that the floor is in force: no target was named, and no scheduler has joined
+	// since the start.
 	Ended   bool
 	InForce bool
 	// Preempting reports that some schedulers are cancelling lower runs.
@@ -133,7 +134,7 @@
 	if p.exchange(t) != nil {
 		return message.FloorAsk{}, nil, nil
 	}
-	p.dropExpiredDeparted(now)
+	p.dropDeparted(now)
 	f.seq++
 	e := &exchange{tier: t, seq: f.seq, sent: now, valid: f.duration, pending: p.members()}
 	e.consider(own)
@@ -195,12 +196,12 @@
 		results = append(results, Result{Pool: p.name, Tier: e.tier, Target: e.cheapest.Target, Cost: e.cheapest.Cost})
 	}
 	until := e.sent.Add(e.valid)
-	stands := !e.hasCapacity && p.askedAll(e)
-	if stands {
+	inForce := !e.hasCapacity && p.askedAll(e)
+	if inForce {
 		p.addObtained(obtainedFloor{tier: e.tier, until: until, lower: e.lower})
 		p.promise(e.tier, until)
 	}
-	return append(results, Result{Pool: p.name, Tier: e.tier, Ended: true, InForce: stands, Preempting: e.preempting, Spared: e.spared})
+	return append(results, Result{Pool: p.name, Tier: e.tier, Ended: true, InForce: inForce, Preempting: e.preempting, Spared: e.spared})
 }
 
 // Promise records a floor that this scheduler promises to another, and returns
--- a/internal/core/floors/pool.go
+++ b/internal/core/floors/pool.go
@@ -12,7 +12,7 @@
 type pool struct {
 	name     string
 	others   []ident.Incarnation
-	previous []departed
+	departed []departedMember
 	// promised are the floors promised to others and to this scheduler's own
 	// exchanges, sorted by tier. obtained are the floors under which this scheduler
 	// may refuse.
@@ -22,7 +22,7 @@
 	recovery  promise
 }
 
-type departed struct {
+type departedMember struct {
 	who   ident.Incarnation
 	until time.Time
 }
@@ -82,7 +82,7 @@
 	next = slices.Compact(next)
 	for _, who := range p.others {
 		if !slices.Contains(next, who) {
-			p.previous = append(p.previous, departed{who: who, until: keepUntil})
+			p.departed = append(p.departed, departedMember{who: who, until: keepUntil})
 		}
 	}
 	joined := false
@@ -91,7 +91,7 @@
 			joined = true
 		}
 	}
-	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return slices.Contains(next, x.who) })
+	p.departed = slices.DeleteFunc(p.departed, func(x departedMember) bool { return slices.Contains(next, x.who) })
 	p.others = next
 	if !joined {
 		return
@@ -104,16 +104,16 @@
 
 func (p *pool) removeMember(who ident.Incarnation) {
 	p.others = slices.DeleteFunc(p.others, func(x ident.Incarnation) bool { return x == who })
-	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return x.who == who })
+	p.departed = slices.DeleteFunc(p.departed, func(x departedMember) bool { return x.who == who })
 }
 
-func (p *pool) dropExpiredDeparted(now time.Time) {
-	p.previous = slices.DeleteFunc(p.previous, func(x departed) bool { return now.After(x.until) })
+func (p *pool) dropDeparted(now time.Time) {
+	p.departed = slices.DeleteFunc(p.departed, func(x departedMember) bool { return now.After(x.until) })
 }
 
 func (p *pool) members() []ident.Incarnation {
 	all := slices.Clone(p.others)
-	for _, x := range p.previous {
+	for _, x := range p.departed {
 		all = append(all, x.who)
 	}
 	slices.Sort(all)
--- a/internal/core/scheduler/cut.go
+++ b/internal/core/scheduler/cut.go
@@ -56,9 +56,9 @@
 // expireAfterPreemption holds an expired offer while the lower runs of the pool
 // are cancelled.
 //
-// Refused at once, the offer would be refused while such runs continue. If the
-// runs were cancelled earlier, that could be for an offer that then obtains a
-// slot in time.
+// If the offer were refused at once, lower runs would continue although higher
+// work is refused. If the runs were cancelled earlier, some would be cancelled for
+// offers that then obtain a slot in time.
 func (s *Scheduler) expireAfterPreemption(o *offer) {
 	o.expired = true
 	o.expiredUntil = earliest(o.deadline, s.now.Add(preemptionTrips*s.settings.tripTime()))
--- a/internal/core/scheduler/promises_test.go
+++ b/internal/core/scheduler/promises_test.go
@@ -98,11 +98,11 @@
 			inUse[c.offer.Target]++
 		}
 	}
-	for name, places := range w.slots {
-		if inUse[name] > places && !w.unsettled[name] {
-			w.t.Fatalf("%d in flight at %s with %d slots", inUse[name], name, places)
+	for name, slots := range w.slots {
+		if inUse[name] > slots && !w.unsettled[name] {
+			w.t.Fatalf("%d in flight at %s with %d slots", inUse[name], name, slots)
 		}
-		if inUse[name] <= places && w.schedulers[w.schedulerOf[name]].targets[name] != nil && w.schedulers[w.schedulerOf[name]].targets[name].acceptsGrants() {
+		if inUse[name] <= slots && w.schedulers[w.schedulerOf[name]].targets[name] != nil && w.schedulers[w.schedulerOf[name]].targets[name].acceptsGrants() {
 			delete(w.unsettled, name)
 		}
 	}
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -196,8 +196,8 @@
 
 func (w *world) granted(m message.Grant) {
 	c := w.requests[m.ID]
-	good := c.offered && !c.running && c.answered == "" && m.Target == c.offer.Target
-	if !good || !w.now.Before(c.sent[m.Ask].Add(m.Valid)) {
+	valid := c.offered && !c.running && c.answered == "" && m.Target == c.offer.Target
+	if !valid || !w.now.Before(c.sent[m.Ask].Add(m.Valid)) {
 		return
 	}
 	c.running = true
@@ -214,7 +214,7 @@
 	case m.Settled:
 		c.answered = string(m.Reason)
 	case Moved(m):
-		c.offered = false // offered again by tend
+		c.offered = false // offered again by runOwner
 	case m.Elsewhere != "":
 		c.redirected = w.now
 		w.offer(c, m.Elsewhere, false)
@@ -253,8 +253,8 @@
 		case c.running:
 			o := c.offer
 			o.Remaining = c.deadline.Sub(w.now)
-			home := w.schedulerOf[o.Target]
-			runs[home] = append(runs[home], message.RunningOne{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
+			assigned := w.schedulerOf[o.Target]
+			runs[assigned] = append(runs[assigned], message.RunningOne{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
 		case c.answered == "" && !c.offered:
 			w.offer(c, c.offer.Target, c.offer.Final)
 		case c.answered == "" && w.now.Sub(c.lastSent) >= w.set.Grant/2:
--- a/internal/core/scheduler/report.go
+++ b/internal/core/scheduler/report.go
@@ -10,15 +10,15 @@
 
 // maxBufferedRuns bounds the runs stored for targets that are not assigned to
 // this scheduler yet.
-const maxBuffered = 8192
+const maxBufferedRuns = 8192
 
 // reportBuffer stores reports on targets that this entry does not schedule yet:
 // an owner may see a change of membership earlier, and reports only once.
 type reportBuffer struct {
-	reports map[ident.RequestID]earlyReport
+	reports map[ident.RequestID]bufferedReport
 }
 
-type earlyReport struct {
+type bufferedReport struct {
 	from ident.Incarnation
 	at   time.Time
 	run  message.RunningOne
@@ -26,23 +26,23 @@
 
 func (b *reportBuffer) add(s *Scheduler, from ident.Incarnation, one message.RunningOne) {
 	if b.reports == nil {
-		b.reports = make(map[ident.RequestID]earlyReport)
+		b.reports = make(map[ident.RequestID]bufferedReport)
 	}
-	if len(b.reports) >= maxBuffered {
-		b.drop(func(r earlyReport) bool { return s.now.Sub(r.at) > s.settings.Silence })
+	if len(b.reports) >= maxBufferedRuns {
+		b.drop(func(r bufferedReport) bool { return s.now.Sub(r.at) > s.settings.Silence })
 	}
-	if len(b.reports) < maxBuffered {
-		b.reports[one.Offer.ID] = earlyReport{from: from, at: s.now, run: one}
+	if len(b.reports) < maxBufferedRuns {
+		b.reports[one.Offer.ID] = bufferedReport{from: from, at: s.now, run: one}
 	}
 }
 
-func (b *reportBuffer) forget(from ident.Incarnation) {
-	b.drop(func(r earlyReport) bool { return r.from == from })
+func (b *reportBuffer) dropFrom(from ident.Incarnation) {
+	b.drop(func(r bufferedReport) bool { return r.from == from })
 }
 
-func (b *reportBuffer) drop(gone func(earlyReport) bool) {
+func (b *reportBuffer) drop(match func(bufferedReport) bool) {
 	for id, r := range b.reports {
-		if gone(r) {
+		if match(r) {
 			delete(b.reports, id)
 		}
 	}
@@ -108,7 +108,7 @@
 		t.endPrefill(r)
 	}
 	s.timers.set(r, r.nextTimer(s))
-	if r.preempting && s.now.Sub(r.preemptAt) > s.settings.Grant {
+	if r.preempting && s.now.Sub(r.preemptedAt) > s.settings.Grant {
 		// The first Preempt was lost, or the owner has not cancelled the run yet.
 		s.sendPreempt(r)
 	}
@@ -145,8 +145,8 @@
 		t := s.targets[name]
 		delete(t.awaited, from)
 		for _, r := range t.sortedRuns() {
-			_, alive := listed[r.offer.ID]
-			if r.from == from && r.reported && !alive {
+			_, running := listed[r.offer.ID]
+			if r.from == from && r.reported && !running {
 				t.endRun(r)
 			}
 		}
--- a/internal/core/scheduler/run.go
+++ b/internal/core/scheduler/run.go
@@ -39,13 +39,13 @@
 	started            bool
 	// prefilling reports that its prompt counts in the target's prefill budget,
 	// at most until prefillBy.
-	prefilling bool
-	prefillBy  time.Time
-	preempting bool
-	preemptAt  time.Time
-	orphan     bool
-	ended      bool
-	timer      timer
+	prefilling  bool
+	prefillBy   time.Time
+	preempting  bool
+	preemptedAt time.Time
+	orphan      bool
+	ended       bool
+	timer       timer
 }
 
 // fill grants free slots while a waiting offer may start.
@@ -129,8 +129,8 @@
 // it is the offer's age here plus the grant time. The grant expires here later
 // than at the owner, by the transit time and by a margin for the report of a
 // grant that was used at the last moment.
-func (s *Scheduler) sendGrant(r *run, asked time.Time) {
-	valid := s.now.Sub(asked) + s.settings.Grant
+func (s *Scheduler) sendGrant(r *run, refreshed time.Time) {
+	valid := s.now.Sub(refreshed) + s.settings.Grant
 	r.grantExpiry = s.now.Add(2 * s.settings.Grant)
 	s.timers.set(r, r.nextTimer(s))
 	s.send(r.from, message.Grant{Ask: r.offer.Ask, ID: r.offer.ID, Target: r.offer.Target, Valid: valid})
@@ -271,7 +271,7 @@
 // their expected end.
 func (s *Scheduler) PeerGone(now time.Time, from ident.Incarnation) []Effect {
 	s.advance(now)
-	s.reports.forget(from)
+	s.reports.dropFrom(from)
 	for _, name := range sortedKeys(s.targets) {
 		t := s.targets[name]
 		for _, o := range t.sortedOffers() {
@@ -390,6 +390,6 @@
 
 func (s *Scheduler) sendPreempt(r *run) {
 	r.preempting = true
-	r.preemptAt = s.now
+	r.preemptedAt = s.now
 	s.send(r.from, message.Preempt{ID: r.offer.ID, Target: r.offer.Target})
 }
--- a/internal/core/scheduler/target.go
+++ b/internal/core/scheduler/target.go
@@ -29,7 +29,8 @@
 	limitShare float64
 
 	// added is when the target was assigned to this scheduler. awaited are the
-	// members whose reports the takeover still waits for.
+	// members whose reports the takeover still waits for, nil if no members are
+	// known.
 	added    time.Time
 	takeover bool
 	awaited  map[ident.Incarnation]struct{}
@@ -219,12 +220,12 @@
 	if budget <= 0 || t.prefill == 0 {
 		return true
 	}
-	kept := int(float64(budget) * t.settings.ShortShare)
+	reserved := int(float64(budget) * t.settings.ShortShare)
 	if it.Lane == queue.Long {
-		return t.prefillLong == 0 && it.Prompt > budget-kept || t.prefillLong+it.Prompt <= budget-kept
+		return t.prefillLong == 0 && it.Prompt > budget-reserved || t.prefillLong+it.Prompt <= budget-reserved
 	}
 	short := t.prefill - t.prefillLong
-	return t.prefill+it.Prompt <= budget || short+it.Prompt <= kept
+	return t.prefill+it.Prompt <= budget || short+it.Prompt <= reserved
 }
 
 func (t *target) lane(prompt int, isolated, service bool) queue.Lane {
--- a/internal/core/scheduler/view.go
+++ b/internal/core/scheduler/view.go
@@ -56,7 +56,7 @@
 	Takeover bool
 	Limit    int
 	InFlight int
-	// Granted is the number of InFlight that no owner has reported yet.
+	// Granted is how many of InFlight no owner has reported yet.
 	Granted    int
 	Preempting int
 	Suspects   int
@@ -82,13 +82,13 @@
 }
 
 func (s *Scheduler) inspect(t *target) TargetView {
-	open := t.acceptsGrants()
+	accepting := t.acceptsGrants()
 	v := TargetView{
 		Name:      t.desc.Name,
 		Pool:      t.desc.Pool,
 		Available: t.available,
 		Straggler: t.estimator.Straggler(),
-		Takeover:  t.available && !open,
+		Takeover:  t.available && !accepting,
 		Limit:     t.limit(),
 		InFlight:  len(t.runs),
 		Suspects:  t.suspects,
