--- a/internal/core/estimate/estimate.go
+++ b/internal/core/estimate/estimate.go
@@ -21,7 +21,8 @@
 	defaultStep        = 20 * time.Millisecond
 	defaultPrefillRate = 4000.0
 	defaultMaxInFlight = 8
-	// minStepTokens is the length of the shortest answer that has a mean step time.
+	// minStepTokens is the length of the shortest answer with a meaningful mean step
+	// time.
 	minStepTokens = 2
 	// minStep keeps a learned step above zero.
 	minStep = 10 * time.Microsecond
--- a/internal/core/floors/floors_test.go
+++ b/internal/core/floors/floors_test.go
@@ -47,9 +47,9 @@
 	It("is not in force when one scheduler names a target", func() {
 		ask, _, _ := f.Begin(at(0), "p", 1, message.Offer{})
 		f.Reply(at(0), "b", promise(ask.Seq))
-		room := promise(ask.Seq)
-		room.Room = "u"
-		Expect(f.Reply(at(0), "c", room)).To(Equal([]Result{{Pool: "p", Tier: 1, Target: "u"}, {Pool: "p", Tier: 1, Ended: true}}))
+		reply := promise(ask.Seq)
+		reply.Room = "u"
+		Expect(f.Reply(at(0), "c", reply)).To(Equal([]Result{{Pool: "p", Tier: 1, Target: "u"}, {Pool: "p", Tier: 1, Ended: true}}))
 		Expect(f.MayRefuse(at(0), "p", 1)).To(BeFalse())
 	})
 
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -115,9 +115,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(nil)
 		var all []*Item
-		drop := func(gone *Item) {
+		drop := func(removed *Item) {
 			for i, it := range all {
-				if it == gone {
+				if it == removed {
 					all = append(all[:i], all[i+1:]...)
 					return
 				}
--- a/internal/core/scheduler/script_test.go
+++ b/internal/core/scheduler/script_test.go
@@ -67,8 +67,8 @@
 func parseTargets(text string) []Target {
 	var list []Target
 	for _, word := range strings.Fields(text) {
-		name, places, _ := strings.Cut(word, "/")
-		n, err := strconv.Atoi(places)
+		name, slots, _ := strings.Cut(word, "/")
+		n, err := strconv.Atoi(slots)
 		Expect(err).NotTo(HaveOccurred())
 		list = append(list, Target{Name: name, Pool: "p", MaxInFlight: n, PrefillRate: 1000, StepTime: 10 * time.Millisecond})
 	}
--- a/internal/core/scheduler/shed.go
+++ b/internal/core/scheduler/shed.go
@@ -211,9 +211,9 @@
 // shedOne refuses one offer of a queue that a new offer has made too long: the
 // last of the lowest tier, which would have been served last. Refusing the
 // oldest instead would discard the work closest to being served. Within the new
-// offer's own tier only an offer of another organisation is refused in its
-// place. Otherwise an organisation that floods the tier would keep others out of
-// the queue, where fair sharing does not apply to them.
+// offer's own tier only an offer of another organisation is refused instead of
+// it. Otherwise an organisation that floods the tier would keep others out of the
+// queue, and fair sharing would not apply to them.
 func (s *Scheduler) shedOne(added *offer) {
 	last := added.target.offers[added.target.queue.Last().ID]
 	switch {
--- a/internal/core/scheduler/slots_test.go
+++ b/internal/core/scheduler/slots_test.go
@@ -23,7 +23,7 @@
 a offer r3 t tier=1 => queued r3
 a done r1 t         => grant r3
 a done r3 t         => grant r2`),
-		Entry("by slack within an organisation", `
+		Entry("grants by least slack within an organisation", `
 a offer r1 t         => grant r1
 a offer r2 t for=9s  => queued r2
 a offer r3 t for=5s  => queued r3
@@ -31,7 +31,7 @@
 		// Many offers of one organisation are waiting when another's first request
 		// arrives. By fair sharing of tokens that request goes first, whatever its
 		// slack.
-		Entry("by fairness over organisations", `
+		Entry("grants fairly among organisations", `
 a offer r1 t org=flood        => grant r1
 a offer r2 t org=flood for=5s => queued r2
 a offer r3 t org=flood for=5s => queued r3
