--- a/internal/core/rollout/compare.go
+++ b/internal/core/rollout/compare.go
@@ -3,109 +3,114 @@
 import "math"
 
 const (
-	// lesserHarm and greaterHarm are the additional parts of bad answers that are looked
-	// for: with the lesser alone a version of which half the answers fail would take twice
-	// as many answers to be found.
-	lesserHarm, greaterHarm = 0.12, 0.4
-	// rateFloor is the least part of bad answers that is taken for usual: a few failures
-	// among the first answers must not condemn a version.
-	rateFloor = 0.01
-	// priorAnswers is the weight of the old version's part of bad answers at all times in
-	// that of a slice in which few of its answers were seen.
+	// smallEffect and largeEffect are the increases of the share of bad answers that are
+	// tested for. With the small one alone, a version of which half the answers fail would
+	// be detected only after twice as many answers.
+	smallEffect, largeEffect = 0.12, 0.4
+	// minBaselineRate is the lower bound of the baseline rate: a few failures among the
+	// first answers must not reject a version.
+	minBaselineRate = 0.01
+	// priorAnswers is the weight, in answers, of the old version's overall rate in the
+	// baseline rate of a time slice.
 	priorAnswers = 10
-	// maxRate bounds the usual part, so that a ratio can be formed while all answers fail.
-	maxRate = 0.9
+	// maxBaselineRate is the upper bound of the baseline rate, so that a likelihood ratio
+	// can be computed while all answers fail.
+	maxBaselineRate = 0.9
 )
 
-// badness is one kind of bad answer, with the word for it.
-type badness struct {
-	// of counts the bad answers, and those that could have been.
-	of     func(*tallies) (bad, answers int)
+// badKind is one kind of bad answer, with the reason reported for it.
+type badKind struct {
+	// count returns the number of bad answers, and of all answers that were checked for this
+	// kind.
+	count  func(*tally) (bad, answers int)
 	reason Reason
-	// tolerance is added to the usual part of bad answers.
+	// tolerance is added to the baseline rate.
 	tolerance float64
-	// cleared is how much likelier, as a logarithm, all answers have to be with a version that
-	// is alike than with a worse one before all traffic is shifted to it; see clearedPart.
-	cleared float64
-	// underLoad: the answers of loaded targets are compared for themselves. How much slower
-	// the old version's are is known from too few for that.
+	// acceptThreshold is the logarithm of how much more likely all answers have to be for an
+	// equivalent version than for a worse one before all traffic is shifted to it; see
+	// partAcceptThreshold.
+	acceptThreshold float64
+	// underLoad: the answers of loaded targets are also compared separately. This is not
+	// done for slow answers, since too few answers show how much slower the old version is
+	// under load.
 	underLoad bool
 }
 
-// clearedPart is the same for the answers of each route and of loaded targets: twice as
-// likely. A bad version that is cleared breaks what callers are promised, a good one that is
-// not can be ordered again: so more good ones are sent back than chance alone would.
-const clearedPart = 0.7
+// partAcceptThreshold is the threshold for the answers of each route and of loaded targets:
+// twice as likely. Accepting a bad version breaks what callers are promised, while a good
+// version that is rejected can be ordered again. The threshold therefore rejects more good
+// versions than chance alone would.
+const partAcceptThreshold = 0.7
 
-// Kinds of bad answers, which are compared each for itself. Of versions of which more
-// answers fail, by the lesser harm, one in twenty is cleared. Some answers are slow by
-// chance, and since the usual times of new targets rest on few answers, some more of those
-// count as slow.
+// Kinds of bad answers, each compared separately. Of the versions whose rate of failures
+// rises by the small effect, one in twenty is accepted. Some answers are slow by chance, and
+// slightly more of them count as slow because the baseline times of new targets rest on few
+// answers, so slowness has a tolerance.
 var (
-	failures  = badness{func(t *tallies) (bad, answers int) { return t.failed, t.answers }, ReasonFailures, 0, 3, true}
-	slowness  = badness{func(t *tallies) (bad, answers int) { return t.slow, t.timed }, ReasonSlow, 0.03, 4, false}
-	badnesses = [...]badness{failures, slowness}
+	failures = badKind{func(t *tally) (bad, answers int) { return t.failed, t.answers }, ReasonFailures, 0, 3, true}
+	slowness = badKind{func(t *tally) (bad, answers int) { return t.slow, t.timed }, ReasonSlow, 0.03, 4, false}
+	badKinds = [...]badKind{failures, slowness}
 )
 
-// selection picks what is compared.
+// selection reports whether the answers of a group are compared.
 type selection func(group) bool
 
-func everything(group) bool { return true }
+func allAnswers(group) bool { return true }
 
-// loaded picks the answers of loaded targets: a version may be bad under load only.
-func loaded(at group) bool { return at.loaded }
+// loadedTargets selects the answers of loaded targets: a version may be bad under load only.
+func loadedTargets(at group) bool { return at.loaded }
 
-func only(route uint32) selection {
+func onRoute(route uint32) selection {
 	return func(at group) bool { return at.route == route }
 }
 
-// comparison is what the answers to some routes show.
+// comparison is the result of comparing the selected answers of both versions.
 type comparison struct {
-	// worse is the logarithm of how much likelier the answers are if the new version is
-	// worse than the old one, against its being alike.
+	// worse is the logarithm of the likelihood ratio of the answers: the new version being
+	// worse against its being equivalent to the old one.
 	worse float64
-	// answers and bad are the new version's, expected how many of bad the old one would
-	// have had.
+	// answers and bad count those of the new version; expected is the number of bad answers
+	// that the old version would have had.
 	answers, bad int
 	expected     float64
 }
 
-// compare sums up the slices. The two likelihoods of worse versions are averaged, so that
-// the ratio keeps the expectation 1 for a version that is alike: by Ville's inequality it
-// ever exceeds 1/a with a chance of at most a, however often one looks.
-func (e *evidence) compare(counts selection, bad badness) comparison {
+// compare sums up the time slices. The likelihoods of the two worse versions are averaged,
+// so that the ratio keeps the expectation 1 for an equivalent version: by Ville's inequality
+// the probability that it ever exceeds a is at most 1/a, however often it is checked.
+func (e *evidence) compare(include selection, kind badKind) comparison {
 	var c comparison
-	var lesser, greater float64
-	overall := e.overallRate(counts, bad)
-	for _, at := range e.news.groups {
-		if !counts(at) {
+	var small, large float64
+	overall := e.overallRate(include, kind)
+	for _, at := range e.newTallies.groups {
+		if !include(at) {
 			continue
 		}
-		fresh := e.news.tallies[at]
-		usual := e.usualRate(at, bad, overall)
-		bads, answers := bad.of(fresh)
-		lesser += logRatio(answers, bads, usual, lesserHarm)
-		greater += logRatio(answers, bads, usual, greaterHarm)
+		observed := e.newTallies.tallies[at]
+		baseline := e.baselineRate(at, kind, overall)
+		bads, answers := kind.count(observed)
+		small += logRatio(answers, bads, baseline, smallEffect)
+		large += logRatio(answers, bads, baseline, largeEffect)
 		c.answers += answers
 		c.bad += bads
-		c.expected += float64(answers) * usual
+		c.expected += float64(answers) * baseline
 	}
-	c.worse = max(lesser, greater) + math.Log((1+math.Exp(-math.Abs(lesser-greater)))/2)
+	c.worse = max(small, large) + math.Log((1+math.Exp(-math.Abs(small-large)))/2)
 	return c
 }
 
-// logRatio is the logarithm of the likelihood ratio of so many bad answers.
-func logRatio(answers, bads int, usual, harm float64) float64 {
-	worse := usual + harm*(1-usual)
-	return float64(bads)*math.Log(worse/usual) + float64(answers-bads)*math.Log((1-worse)/(1-usual))
+// logRatio returns the logarithm of the likelihood ratio of this number of bad answers.
+func logRatio(answers, bads int, baseline, effect float64) float64 {
+	worse := baseline + effect*(1-baseline)
+	return float64(bads)*math.Log(worse/baseline) + float64(answers-bads)*math.Log((1-worse)/(1-baseline))
 }
 
-// overallRate is the part of bad answers of the old version at all times.
-func (e *evidence) overallRate(counts selection, bad badness) float64 {
-	answers, bads := float64(priorAnswers), rateFloor*priorAnswers
-	for _, at := range e.olds.groups {
-		if counts(at) {
-			b, n := bad.of(e.olds.tallies[at])
+// overallRate returns the old version's share of bad answers over the whole roll-out.
+func (e *evidence) overallRate(include selection, kind badKind) float64 {
+	answers, bads := float64(priorAnswers), minBaselineRate*priorAnswers
+	for _, at := range e.oldTallies.groups {
+		if include(at) {
+			b, n := kind.count(e.oldTallies.tallies[at])
 			answers += float64(n)
 			bads += float64(b)
 		}
@@ -113,19 +118,20 @@
 	return bads / answers
 }
 
-// usualRate is the part of bad answers of the old version on the route around a slice, and
-// at all times where few were seen then: after the shift none are. Its loaded targets count
-// with the others, since they are few.
-func (e *evidence) usualRate(at group, bad badness, overall float64) float64 {
+// baselineRate returns the old version's share of bad answers on the route in the slices
+// around a group's, combined with the overall rate, which dominates where there were few
+// answers, as after the shift. Answers of loaded and other old targets are counted together,
+// since those of loaded ones are few.
+func (e *evidence) baselineRate(at group, kind badKind, overall float64) float64 {
 	answers, bads := float64(priorAnswers), overall*priorAnswers
 	for slice := at.slice - 1; slice <= at.slice+1; slice++ {
 		for _, loaded := range [...]bool{false, true} {
-			if old, found := e.olds.tallies[group{at.route, slice, loaded}]; found {
-				b, n := bad.of(old)
+			if old, found := e.oldTallies.tallies[group{at.route, slice, loaded}]; found {
+				b, n := kind.count(old)
 				answers += float64(n)
 				bads += float64(b)
 			}
 		}
 	}
-	return min(maxRate, max(rateFloor, bads/answers)+bad.tolerance)
+	return min(maxBaselineRate, max(minBaselineRate, bads/answers)+kind.tolerance)
 }
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Faults strike both versions: engines fail for some seconds, a burst makes all slow. So
-// what the new version shows is compared with what the old one shows in the same second.
-// Servers of one service differ in speed by a factor of four and more, so a slow answer is
-// one that is slow for its own server, and a server is slow if it is slower than the
-// slowest old one.
+// Faults affect both versions: engines fail for some seconds, a burst slows down all of
+// them. The new version is therefore compared with the old one within the same second.
+// Servers of one service differ in speed by a factor of four and more, so an answer counts
+// as slow by comparison with its own server, and a server counts as slow if it is slower
+// than the slowest old one.
 
 const (
-	// sliceLength is the time whose answers are compared with each other.
+	// sliceLength is the length of a time slice; answers are compared within one.
 	sliceLength = time.Second
-	// timesKept is the number of times from which a target's usual one is taken, some
-	// seconds at its usual load.
-	timesKept = 32
-	// fastPart is the quantile that stands for a target's usual time. It is below the
-	// median, so that a version of which half the answers are slow does not pass for a slow
-	// server.
-	fastPart = 0.25
-	// minUsual is the number of answers from which a target's usual time is known.
-	minUsual = 5
-	// slowPart is the quantile of the old version's times, as multiples of the usual time
-	// of their targets, above which a time is slow; leastSlow bounds it from below.
-	// multiplesKept is the number from which it is taken.
-	slowPart      = 0.95
-	leastSlow     = 2.0
-	multiplesKept = 512
-	// noise is what entries add to a time by themselves: one of a fifth of a core that has
-	// much to do answers some milliseconds later. Answers of a millisecond were called slow
-	// for that, and a sound version was sent back while its entry was busy.
-	noise = 10 * time.Millisecond
-	// heldKept is the number of old requests from whose times the drain is estimated, heldPart
-	// the part of them that has to end in it.
-	heldKept = 256
-	heldPart = 0.9
+	// maxTimes is the number of times from which a target's baseline is computed, some
+	// seconds at its typical load.
+	maxTimes = 32
+	// baselineQuantile is the quantile of a target's times that is its baseline. It is below
+	// the median, so that a version of which half the answers are slow is not mistaken for a
+	// slow server.
+	baselineQuantile = 0.25
+	// minBaselineTimes is the number of times from which a target has a baseline.
+	minBaselineTimes = 5
+	// An answer is slow if its time, as a multiple of its target's baseline, exceeds both
+	// minSlowMultiple and the slowQuantile quantile of the old version's last maxMultiples
+	// multiples.
+	slowQuantile    = 0.95
+	minSlowMultiple = 2.0
+	maxMultiples    = 512
+	// entryDelay is the delay that entries themselves may add to a time: a busy entry with a
+	// fifth of a core measures an answer some milliseconds late. Without this allowance
+	// answers of a millisecond counted as slow, and a good version was rolled back while its
+	// entry was busy.
+	entryDelay = 10 * time.Millisecond
+	// maxDurations is the number of old requests from whose durations the drain time is
+	// estimated; drainQuantile is the share of them that has to end within it.
+	maxDurations  = 256
+	drainQuantile = 0.9
 )
 
-// ring keeps the latest values.
+// ring holds the latest values.
 type ring struct {
 	values []float64
 	next   int
@@ -54,17 +55,17 @@
 	r.next = (r.next + 1) % size
 }
 
-// quantile is 0 for a ring without values.
-func (r *ring) quantile(part float64) float64 {
+// quantile returns 0 for a ring without values.
+func (r *ring) quantile(q float64) float64 {
 	if len(r.values) == 0 {
 		return 0
 	}
 	sorted := slices.Clone(r.values)
 	slices.Sort(sorted)
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// measure is one of the times that an observation has.
+// measure is one of the times of an observation.
 type measure uint8
 
 const (
@@ -80,243 +81,243 @@
 	return o.First
 }
 
-// usualKey names times of a target that can be compared with each other. A stream's times
-// are for a token, whatever its route; other answers take as long as their work, so their
-// routes are kept apart.
-type usualKey struct {
+// baselineKey identifies times of a target that can be compared with each other. The times
+// of a stream are per token and do not depend on the route; the times of other answers
+// depend on the work done, so their routes are kept apart.
+type baselineKey struct {
 	measure measure
 	route   uint32
 }
 
-func keyOf(m measure, o *Observation) usualKey {
+func keyOf(m measure, o *Observation) baselineKey {
 	if o.First > 0 {
-		return usualKey{measure: m}
+		return baselineKey{measure: m}
 	}
-	return usualKey{m, o.Route}
+	return baselineKey{m, o.Route}
 }
 
-// tracked is what is known of one target.
-type tracked struct {
+// targetTimes holds the times of one target.
+type targetTimes struct {
 	isNew bool
-	times map[usualKey]*ring
-	// severed is when its last break was counted.
-	severed time.Time
+	times map[baselineKey]*ring
+	// lastSevered is when its last counted connection loss occurred.
+	lastSevered time.Time
 }
 
-func (t *tracked) add(key usualKey, taken float64) {
+func (t *targetTimes) add(key baselineKey, value float64) {
 	if t.times[key] == nil {
 		t.times[key] = &ring{}
 	}
-	t.times[key].add(taken, timesKept)
+	t.times[key].add(value, maxTimes)
 }
 
-// usual is the target's usual time from so many answers; 0: not known.
-func (t *tracked) usual(key usualKey, least int) float64 {
+// baseline returns the target's baseline time; 0 if there are fewer than minTimes times.
+func (t *targetTimes) baseline(key baselineKey, minTimes int) float64 {
 	times := t.times[key]
-	if times == nil || len(times.values) < least {
+	if times == nil || len(times.values) < minTimes {
 		return 0
 	}
-	return times.quantile(fastPart)
+	return times.quantile(baselineQuantile)
 }
 
-// group is what answers are compared within: a route, in a slice of time, at targets that
-// were loaded or not.
+// group is the unit within which answers are compared: a route, in a time slice, at targets
+// that were loaded or not.
 type group struct {
 	route  uint32
 	slice  int64
 	loaded bool
 }
 
-// tallies counts the answers of one version in a group: all, those that failed, those whose
-// times could be compared, and the slow ones of these.
-type tallies struct{ answers, failed, timed, slow int }
+// tally counts the answers of one version in a group: all answers, the failed ones, those
+// whose times could be compared, and the slow ones of these.
+type tally struct{ answers, failed, timed, slow int }
 
-// counts holds tallies by group. They are summed up in the order in which the groups were
-// first seen: sums of floating-point numbers differ with the order, and the same answers
-// have to lead to the same decision.
-type counts struct {
+// groupTallies holds tallies by group. They are summed up in the order in which the groups
+// were first seen: sums of floating-point numbers depend on the order, and the same answers
+// must lead to the same decision.
+type groupTallies struct {
 	groups  []group
-	tallies map[group]*tallies
+	tallies map[group]*tally
 }
 
-func newCounts() counts { return counts{tallies: make(map[group]*tallies)} }
+func newGroupTallies() groupTallies { return groupTallies{tallies: make(map[group]*tally)} }
 
-// of returns a group's tallies, which it makes if there are none.
-func (c *counts) of(at group) *tallies {
+// of returns the tally of a group and creates it if necessary.
+func (c *groupTallies) of(at group) *tally {
 	if c.tallies[at] == nil {
-		c.tallies[at] = &tallies{}
+		c.tallies[at] = &tally{}
 		c.groups = append(c.groups, at)
 	}
 	return c.tallies[at]
 }
 
-// sample is an observation with the slice in which it came.
+// sample is an observation with the time slice in which it arrived.
 type sample struct {
 	Observation
 	slice int64
 }
 
-// evidence is what all observations show together.
+// evidence combines the observations of all entries.
 type evidence struct {
-	start      time.Time
-	targets    map[uint32]*tracked
-	pending    []sample
-	olds, news counts
-	// inOrder are the targets in the order in which they were first seen.
-	inOrder []*tracked
-	// multiples are the old version's times as multiples of the usual ones; held is how long
-	// its requests were at their targets.
+	start                  time.Time
+	targets                map[uint32]*targetTimes
+	pending                []sample
+	oldTallies, newTallies groupTallies
+	// inOrder lists the targets in the order in which they were first seen.
+	inOrder []*targetTimes
+	// multiples are the old version's times as multiples of the baselines; oldDurations is
+	// how long its requests were at their targets.
 	multiples [measures]ring
-	held      ring
+	durations ring
 	loads     [measures]loadFactors
 }
 
 func newEvidence(now time.Time) *evidence {
-	return &evidence{start: now, targets: make(map[uint32]*tracked), olds: newCounts(), news: newCounts()}
+	return &evidence{start: now, targets: make(map[uint32]*targetTimes), oldTallies: newGroupTallies(), newTallies: newGroupTallies()}
 }
 
 func (e *evidence) observe(now time.Time, o Observation) {
 	t, found := e.targets[o.Target]
 	if !found {
-		t = &tracked{isNew: o.New, times: make(map[usualKey]*ring)}
+		t = &targetTimes{isNew: o.New, times: make(map[baselineKey]*ring)}
 		e.targets[o.Target] = t
 		e.inOrder = append(e.inOrder, t)
 	}
 	if o.Severed {
-		// A server that crashes breaks off all that runs there. That is one event, not as
-		// many as it had requests; counted singly, one crash would condemn a version.
-		if now.Sub(t.severed) < sliceLength {
+		// A server that crashes aborts all its requests. That is one event: counted for each
+		// request, one crash would reject a version.
+		if now.Sub(t.lastSevered) < sliceLength {
 			return
 		}
-		t.severed = now
+		t.lastSevered = now
 	}
-	e.learn(t, &o)
+	e.addTimes(t, &o)
 	if !o.New {
-		e.held.add(float64(o.Took), heldKept)
+		e.durations.add(float64(o.Took), maxDurations)
 	}
 	s := sample{Observation: o, slice: int64(now.Sub(e.start) / sliceLength)}
-	counted := e.tallies(&s)
-	counted.answers++
+	tally := e.tallyOf(&s)
+	tally.answers++
 	if o.Failed {
-		counted.failed++
+		tally.failed++
 		return
 	}
 	e.pending = append(e.pending, s)
 }
 
-// learn takes an answer's times.
-func (e *evidence) learn(t *tracked, o *Observation) {
+// addTimes adds the times of an answer to those of its target.
+func (e *evidence) addTimes(t *targetTimes, o *Observation) {
 	for m := range measures {
 		if m.of(o) == 0 {
 			continue
 		}
 		key := keyOf(m, o)
-		if usual := t.usual(key, minUsual); usual > 0 && !o.New {
-			e.loads[m].add(o.Load, float64(m.of(o))/usual)
+		if baseline := t.baseline(key, minBaselineTimes); baseline > 0 && !o.New {
+			e.loads[m].add(o.Load, float64(m.of(o))/baseline)
 		}
-		t.add(key, e.taken(m, o))
+		t.add(key, e.normalized(m, o))
 	}
 }
 
-// taken is an answer's time as it would be at a target of usual load.
-func (e *evidence) taken(m measure, o *Observation) float64 {
+// normalized returns the time of an answer as it would be at a target of mean load.
+func (e *evidence) normalized(m measure, o *Observation) float64 {
 	return float64(m.of(o)) / e.loads[m].factor(o.Load)
 }
 
-// tallies are those of the sample's group and version.
-func (e *evidence) tallies(s *sample) *tallies {
+// tallyOf returns the tally of the sample's version and group.
+func (e *evidence) tallyOf(s *sample) *tally {
 	at := group{s.Route, s.slice, s.Loaded}
 	if s.New {
-		return e.news.of(at)
+		return e.newTallies.of(at)
 	}
-	return e.olds.of(at)
+	return e.oldTallies.of(at)
 }
 
-// classify finds what is slow of the pending answers, but for those of targets whose usual
-// time is not known yet. It is a few microseconds for each answer, and done once for each.
+// classify decides which pending answers are slow, except those of targets without a
+// baseline yet. Each answer is classified once, which takes a few microseconds.
 func (e *evidence) classify() {
-	usual := make(map[uint32]map[usualKey]float64)
+	baselines := make(map[uint32]map[baselineKey]float64)
 	limits := e.slowLimits()
-	waiting := e.pending[:0]
+	undecided := e.pending[:0]
 	for i := range e.pending {
 		s := &e.pending[i]
-		known, found := usual[s.Target]
+		known, found := baselines[s.Target]
 		if !found {
-			known = e.targets[s.Target].usuals(minUsual)
-			usual[s.Target] = known
+			known = e.targets[s.Target].baselines(minBaselineTimes)
+			baselines[s.Target] = known
 		}
-		if !knows(known, s) {
-			waiting = append(waiting, *s)
+		if !allKnown(known, s) {
+			undecided = append(undecided, *s)
 			continue
 		}
-		e.time(s, known, limits)
+		e.classifySample(s, known, limits)
 	}
-	clear(e.pending[len(waiting):])
-	e.pending = waiting
+	clear(e.pending[len(undecided):])
+	e.pending = undecided
 }
 
-// usuals are the usual times that are known from so many answers.
-func (t *tracked) usuals(least int) map[usualKey]float64 {
-	known := make(map[usualKey]float64, len(t.times))
+// baselines returns the baselines that rest on at least minTimes times.
+func (t *targetTimes) baselines(minTimes int) map[baselineKey]float64 {
+	known := make(map[baselineKey]float64, len(t.times))
 	for key := range t.times {
-		if usual := t.usual(key, least); usual > 0 {
-			known[key] = usual
+		if baseline := t.baseline(key, minTimes); baseline > 0 {
+			known[key] = baseline
 		}
 	}
 	return known
 }
 
-// knows reports whether all of the sample's times can be compared.
-func knows(usual map[usualKey]float64, s *sample) bool {
+// allKnown reports whether there is a baseline for each of the sample's times.
+func allKnown(baselines map[baselineKey]float64, s *sample) bool {
 	for m := range measures {
-		if m.of(&s.Observation) > 0 && usual[keyOf(m, &s.Observation)] == 0 {
+		if m.of(&s.Observation) > 0 && baselines[keyOf(m, &s.Observation)] == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// slowLimits are the multiples of a target's usual time from which a time is slow.
+// slowLimits returns the multiples of a target's baseline above which a time is slow.
 func (e *evidence) slowLimits() (limits [measures]float64) {
 	for m := range limits {
-		limits[m] = max(leastSlow, e.multiples[m].quantile(slowPart))
+		limits[m] = max(minSlowMultiple, e.multiples[m].quantile(slowQuantile))
 	}
 	return limits
 }
 
-// time says whether a sample is slow.
-func (e *evidence) time(s *sample, usual map[usualKey]float64, limits [measures]float64) {
+// classifySample counts a sample as slow or not.
+func (e *evidence) classifySample(s *sample, baselines map[baselineKey]float64, limits [measures]float64) {
 	slow := false
 	for m := range measures {
-		taken := e.taken(m, &s.Observation)
-		if taken == 0 {
+		normalized := e.normalized(m, &s.Observation)
+		if normalized == 0 {
 			continue
 		}
-		base := usual[keyOf(m, &s.Observation)]
-		multiple := taken / base
-		slow = slow || multiple > limits[m] && taken > base+float64(noise)
+		baseline := baselines[keyOf(m, &s.Observation)]
+		multiple := normalized / baseline
+		slow = slow || multiple > limits[m] && normalized > baseline+float64(entryDelay)
 		if !s.New {
-			e.multiples[m].add(multiple, multiplesKept)
+			e.multiples[m].add(multiple, maxMultiples)
 		}
 	}
-	counted := e.tallies(s)
-	counted.timed++
+	tally := e.tallyOf(s)
+	tally.timed++
 	if slow {
-		counted.slow++
+		tally.slow++
 	}
 }
 
-// drain is the time in which what runs on old targets should have ended.
-func (e *evidence) drain() time.Duration { return time.Duration(e.held.quantile(heldPart)) }
+// drain returns the time within which requests at old targets are expected to end.
+func (e *evidence) drain() time.Duration { return time.Duration(e.durations.quantile(drainQuantile)) }
 
-// usedRoute is the number of the old version's answers from which a route has to be seen
-// on the new one: a version may be bad on one route only.
-const usedRoute = 40
+// minRouteAnswers is the number of the old version's answers from which a route must also
+// have been observed on the new one: a version may be bad on one route only.
+const minRouteAnswers = 40
 
-// routes are those that have to be compared, in order.
+// routes returns the routes that have to be compared, in ascending order.
 func (e *evidence) routes() []uint32 {
 	olds := make(map[uint32]int)
-	for at, old := range e.olds.tallies {
+	for at, old := range e.oldTallies.tallies {
 		olds[at.route] += old.answers
 	}
 	var routes []uint32
@@ -326,11 +327,11 @@
 		}
 	}
 	for route, answers := range olds {
-		if answers >= usedRoute {
+		if answers >= minRouteAnswers {
 			add(route)
 		}
 	}
-	for _, at := range e.news.groups {
+	for _, at := range e.newTallies.groups {
 		add(at.route)
 	}
 	return routes
--- a/internal/core/rollout/evidence_test.go
+++ b/internal/core/rollout/evidence_test.go
@@ -10,13 +10,13 @@
 	"sycamoretrail/internal/core/rollout"
 )
 
-// A sound version answers within a millisecond, and the entries that measure it are busy:
-// every fifth answer of the new one is seen some milliseconds late, of the old one every
-// tenth. That is no reason to send the version back, since no caller notices.
-func TestNoiseOfEntriesIsNotSlowness(t *testing.T) {
+// A good version answers within a millisecond, and the entries that measure it are busy:
+// every fifth answer of the new version is measured some milliseconds late, and every tenth
+// of the old one. The version must not be rolled back for it, since no caller notices.
+func TestEntryDelayIsNotSlowness(t *testing.T) {
 	w := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	judge := rollout.NewJudge(moment, rollout.Order{ID: 5, Duration: 6 * time.Second})
+	judge := rollout.NewJudge(startTime, rollout.Order{ID: 5, Duration: 6 * time.Second})
 	number := uint64(0)
 	observe := func(isNew bool, late float64) rollout.Observation {
 		number++
@@ -31,7 +31,7 @@
 	}
 	var decision rollout.Decision
 	for tick := range 24 {
-		now := moment.Add(time.Duration(tick) * 250 * time.Millisecond)
+		now := startTime.Add(time.Duration(tick) * 250 * time.Millisecond)
 		report := rollout.Report{Order: 5, Phase: rollout.Canary}
 		for range 8 {
 			report.New = append(report.New, observe(true, 0.2))
@@ -40,30 +40,30 @@
 			report.Old = append(report.Old, observe(false, 0.1))
 		}
 		judge.Take(now, "entry", 1, report)
-		if decision = judge.Decide(now, rollout.Canary, now.Sub(moment), []string{"entry"}); decision.Action != rollout.Wait {
+		if decision = judge.Decide(now, rollout.Canary, now.Sub(startTime), []string{"entry"}); decision.Action != rollout.Wait {
 			break
 		}
 	}
 	w.Expect(decision.Action).To(Equal(rollout.Shift), "%+v", decision)
 }
 
-// The one target of a canary is seen two milliseconds late in every answer, by entries that
-// are busy with it. Three times the time of the old ones, it is no slow version.
-func TestNoiseOfEntriesIsNoSlowTarget(t *testing.T) {
+// Busy entries measure every answer of the canary's only target two milliseconds late. That
+// is three times the time of the old targets, but must not count as slow.
+func TestEntryDelayIsNotASlowTarget(t *testing.T) {
 	w := NewWithT(t)
-	judge := rollout.NewJudge(moment, rollout.Order{ID: 5, Duration: 6 * time.Second})
+	judge := rollout.NewJudge(startTime, rollout.Order{ID: 5, Duration: 6 * time.Second})
 	report := rollout.Report{Order: 5, Phase: rollout.Canary}
 	for n := range uint64(40) {
 		report.Old = append(report.Old, rollout.Observation{Number: n + 1, Target: 1 + uint32(n%2), Load: 1, Pace: time.Millisecond})
 		report.New = append(report.New, rollout.Observation{Number: n + 1, Target: 9, New: true, Load: 1, Pace: 3 * time.Millisecond})
 	}
-	judge.Take(moment, "entry", 1, report)
-	w.Expect(judge.Decide(moment, rollout.Canary, time.Second, nil).Action).To(Equal(rollout.Wait))
+	judge.Take(startTime, "entry", 1, report)
+	w.Expect(judge.Decide(startTime, rollout.Canary, time.Second, nil).Action).To(Equal(rollout.Wait))
 }
 
-// unlikeServers reports the answers of twelve old servers, a third of which takes four times
-// as long, and of six new ones with the given times in milliseconds.
-func unlikeServers(news []int) rollout.Report {
+// mixedSpeedReport returns a report with answers of twelve old servers, a third of which
+// take four times as long, and of six new ones with the given times in milliseconds.
+func mixedSpeedReport(news []int) rollout.Report {
 	report := rollout.Report{Order: 5, Phase: rollout.Canary}
 	for n := range uint64(72) {
 		pace := 10 * time.Millisecond
@@ -79,16 +79,16 @@
 	return report
 }
 
-// A version makes all answers five times as long. On four fast servers of its canary that
-// looks like a slow server; two slow ones take four times as long as any old one. Their
-// callers wait, so the version goes back, at three answers of each. One such server alone
-// may be sick.
-func TestTwoServersSlowerThanAnyCondemn(t *testing.T) {
+// A version makes all answers five times as long. On the four fast servers of its canary
+// that looks like a slow server, but the two slow ones take four times as long as any old
+// one. The version is rolled back, after three answers of each. A single such server may be
+// faulty.
+func TestTwoMuchSlowerServersRejectAVersion(t *testing.T) {
 	w := NewWithT(t)
 	decide := func(news ...int) rollout.Action {
-		judge := rollout.NewJudge(moment, rollout.Order{ID: 5, Duration: 12 * time.Second})
-		judge.Take(moment, "entry", 1, unlikeServers(news))
-		return judge.Decide(moment, rollout.Canary, time.Second, nil).Action
+		judge := rollout.NewJudge(startTime, rollout.Order{ID: 5, Duration: 12 * time.Second})
+		judge.Take(startTime, "entry", 1, mixedSpeedReport(news))
+		return judge.Decide(startTime, rollout.Canary, time.Second, nil).Action
 	}
 	w.Expect(decide(50, 50, 50, 50, 225, 225)).To(Equal(rollout.RollBack))
 	w.Expect(decide(50, 50, 50, 50, 50, 225)).To(Equal(rollout.Wait))
--- a/internal/core/rollout/judge.go
+++ b/internal/core/rollout/judge.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// falseAlarm is the chance at which a version that is alike is called worse at any time
-	// of its roll-out; it is divided among the comparisons that are made.
-	falseAlarm = 1e-4
-	// leastAnswers is the number of answers that each route has to have shown.
-	leastAnswers = 6
-	// harmed is the number of bad answers, beyond what the old version would have had, at
-	// which a version is rolled back whatever the comparison says. Operators count the time
-	// in which it has to be stopped from the 50th.
-	harmed = 30
+	// falseAlarmRate is the probability that an equivalent version is found to be worse at
+	// any time of its roll-out. It is divided among the comparisons.
+	falseAlarmRate = 1e-4
+	// minAnswers is the number of the new version's answers that are required on each route.
+	minAnswers = 6
+	// maxExcessBad is the number of bad answers, beyond those that the old version would
+	// have had, at which a version is rolled back whatever the comparison shows. Operators
+	// count the time within which it has to be stopped from the 50th.
+	maxExcessBad = 30
 )
 
-// Times of a roll-out, as parts of its duration.
+// Times of a roll-out, as shares of its duration.
 const (
-	// A roll-out is completed late: a version that turns bad after some time must have had
-	// that time. What is left covers a store that answers slowly.
+	// A roll-out is completed late, so that a version that turns bad after some time is
+	// detected. The rest of the time is left for a store that answers slowly.
 	completeShare  = 0.92
 	completeMargin = 800 * time.Millisecond
-	// forceShare and forceMargin are what is left when it is completed although requests
-	// still run on old servers, and break off.
+	// forceShare and forceMargin are the time before the deadline at which a roll-out is
+	// completed even though requests still run on old servers and are aborted.
 	forceShare  = 0.03
 	forceMargin = 500 * time.Millisecond
-	// minDrain and maxDrainShare bound the time between shift and completion.
+	// minDrain and maxDrainShare are the bounds of the time between shift and completion.
 	minDrain      = 300 * time.Millisecond
 	maxDrainShare = 0.3
 )
 
-// reportLife is how old an entry's report may be to say what runs there now.
-const reportLife = 1500 * time.Millisecond
+// maxReportAge is the age up to which an entry's report shows what runs there now.
+const maxReportAge = 1500 * time.Millisecond
 
 // Action is what the leader has to do.
 type Action uint8
 
 const (
-	// Wait: nothing yet.
+	// Wait: nothing.
 	Wait Action = iota
-	// Begin, Shift, Complete and RollBack each put the next phase into the store.
+	// Begin, Shift, Complete and RollBack each store the next phase.
 	Begin
 	Shift
 	Complete
@@ -52,12 +52,12 @@
 	return [...]string{"wait", "begin", "shift", "complete", "roll_back"}[a]
 }
 
-// Phase is the one that an action leads to.
+// Phase returns the phase that an action leads to.
 func (a Action) Phase() Phase {
 	return [...]Phase{Unknown, Canary, Shifting, Completed, RolledBack}[a]
 }
 
-// Reason says why an action is due.
+// Reason is why an action is due.
 type Reason string
 
 // Reasons of actions.
@@ -66,36 +66,37 @@
 	ReasonFailures    Reason = "failures"
 	ReasonSlow        Reason = "slow_answers"
 	ReasonSlowTargets Reason = "slow_targets"
-	ReasonHarmed      Reason = "too_many_bad_answers"
-	ReasonCleared     Reason = "as_good_as_before"
+	ReasonExcessBad   Reason = "too_many_bad_answers"
+	ReasonNoWorse     Reason = "as_good_as_before"
 	ReasonFewAnswers  Reason = "few_answers"
 	ReasonUndecided   Reason = "undecided_at_the_deadline"
 	ReasonDrained     Reason = "nothing_runs_on_old_targets"
 	ReasonOutOfTime   Reason = "out_of_time"
 )
 
-// Decision is an action with the inputs that decided it.
+// Decision is an action with the values that it is based on.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// Unclear says, of an undecided roll-out, what the new version was not cleared of.
+	// Unclear is, for a roll-out that is undecided at the deadline, the check that the new
+	// version did not pass.
 	Unclear Reason
-	// Answers and Bad are the new version's in the comparison that decided, Expected how
-	// many of Bad the old version would have had, Worse the logarithm of how much likelier
-	// they are with a worse version.
+	// Answers and Bad count the new version's answers in the comparison that decided.
+	// Expected is the number of bad answers that the old version would have had. Worse is
+	// the logarithm of the likelihood ratio of the new version being worse.
 	Answers, Bad int
 	Expected     float64
 	Worse        float64
 }
 
-// Judge is what the leader makes of all entries' observations.
+// Judge evaluates the observations of all entries at the leader.
 type Judge struct {
 	order    Order
 	evidence *evidence
 	entries  map[string]*entryReport
-	// condemned is the decision to roll back, once made: while it waits for the store, no
-	// later answer may open the canary again.
-	condemned *Decision
+	// rejected is the decision to roll back, once made. While it is being stored, no later
+	// answer may reopen the canary.
+	rejected *Decision
 }
 
 // entryReport is the last report of an entry.
@@ -103,19 +104,19 @@
 	incarnation uint64
 	at          time.Time
 	report      Report
-	// seenNew and seenOld are the numbers of the last observations that were taken.
-	seenNew, seenOld uint64
+	// lastNew and lastOld are the numbers of the last observations that were added.
+	lastNew, lastOld uint64
 }
 
-// NewJudge makes a judge that has seen nothing.
+// NewJudge returns a judge without observations.
 func NewJudge(now time.Time, order Order) *Judge {
 	return &Judge{order: order, evidence: newEvidence(now), entries: make(map[string]*entryReport)}
 }
 
-// Order is the order whose version is judged.
+// Order returns the order of the roll-out.
 func (j *Judge) Order() Order { return j.order }
 
-// Take takes an entry's report.
+// Take adds an entry's report.
 func (j *Judge) Take(now time.Time, entry string, incarnation uint64, r Report) {
 	if r.Order != j.order.ID {
 		return
@@ -126,23 +127,23 @@
 		j.entries[entry] = known
 	}
 	known.at, known.report = now, r
-	known.seenNew = j.takeRecent(now, r.New, known.seenNew)
-	known.seenOld = j.takeRecent(now, r.Old, known.seenOld)
+	known.lastNew = j.addNewer(now, r.New, known.lastNew)
+	known.lastOld = j.addNewer(now, r.Old, known.lastOld)
 }
 
-// takeRecent takes the observations after a number and returns that of the last.
-func (j *Judge) takeRecent(now time.Time, recent []Observation, seen uint64) uint64 {
+// addNewer adds the observations numbered above last and returns the number of the last one.
+func (j *Judge) addNewer(now time.Time, recent []Observation, last uint64) uint64 {
 	for _, o := range recent {
-		if o.Number > seen {
-			seen = o.Number
+		if o.Number > last {
+			last = o.Number
 			j.evidence.observe(now, o)
 		}
 	}
-	return seen
+	return last
 }
 
-// Decide says what is to be done in a phase, so long after the order. live are the names
-// of the entries that are heard, the leader included.
+// Decide returns what to do in a phase, at a time after the order. live lists the names of
+// the live entries, including the leader.
 func (j *Judge) Decide(now time.Time, phase Phase, elapsed time.Duration, live []string) Decision {
 	switch phase {
 	case Unknown:
@@ -157,30 +158,30 @@
 }
 
 func (j *Judge) decideCanary(elapsed time.Duration) Decision {
-	if d, bad := j.condemn(); bad {
+	if d, bad := j.reject(); bad {
 		return d
 	}
 	complete := j.completeAt()
 	if elapsed < complete-j.drain() {
 		return Decision{}
 	}
-	d, good := j.clear()
+	d, good := j.accept()
 	switch {
 	case good:
-		d.Action, d.Reason = Shift, ReasonCleared
+		d.Action, d.Reason = Shift, ReasonNoWorse
 		return d
 	case elapsed < j.forceAt():
 		return Decision{}
 	default:
-		// A bad version that gets all traffic breaks what the operators promise; a good one
-		// can be ordered again.
+		// Shifting all traffic to a bad version breaks what the operators promise, while a
+		// good version can be ordered again.
 		d.Action, d.Reason, d.Unclear = RollBack, ReasonUndecided, d.Reason
 		return d
 	}
 }
 
 func (j *Judge) decideShift(now time.Time, elapsed time.Duration, live []string) Decision {
-	if d, bad := j.condemn(); bad {
+	if d, bad := j.reject(); bad {
 		return d
 	}
 	if j.drained(now, live) && elapsed >= j.completeAt()-minDrain {
@@ -192,102 +193,106 @@
 	return Decision{}
 }
 
-// completeAt is when the roll-out should be completed, forceAt when it has to be.
-func (j *Judge) completeAt() time.Duration { return j.before(completeShare, completeMargin) }
+// completeAt is when the roll-out should be completed; forceAt is when it has to be.
+func (j *Judge) completeAt() time.Duration { return j.shareOrMargin(completeShare, completeMargin) }
 
-func (j *Judge) forceAt() time.Duration { return j.before(1-forceShare, forceMargin) }
+func (j *Judge) forceAt() time.Duration { return j.shareOrMargin(1-forceShare, forceMargin) }
 
-// before is a part of the duration, but at least a margin before its end.
-func (j *Judge) before(share float64, margin time.Duration) time.Duration {
+// shareOrMargin returns a share of the duration, or the time that is margin before its end
+// if that is earlier.
+func (j *Judge) shareOrMargin(share float64, margin time.Duration) time.Duration {
 	return min(time.Duration(share*float64(j.order.Duration)), j.order.Duration-margin)
 }
 
-// drain is the time between shift and completion.
+// drain returns the time between shift and completion.
 func (j *Judge) drain() time.Duration {
 	return min(max(minDrain, j.evidence.drain()), time.Duration(maxDrainShare*float64(j.order.Duration)))
 }
 
-// drained reports whether no live entry has anything at old targets, or sends there.
+// drained reports whether all live entries have shifted and none has requests outstanding at
+// old targets.
 func (j *Judge) drained(now time.Time, live []string) bool {
 	for _, name := range live {
-		known, found := j.entries[name]
-		if !found || now.Sub(known.at) > reportLife || known.report.Phase < Shifting || known.report.OldEngaged > 0 {
+		last, found := j.entries[name]
+		if !found || now.Sub(last.at) > maxReportAge || last.report.Phase < Shifting || last.report.OldEngaged > 0 {
 			return false
 		}
 	}
 	return len(live) > 0
 }
 
-// condemn reports whether the version has been shown to be worse.
-func (j *Judge) condemn() (Decision, bool) {
-	if j.condemned != nil {
-		return *j.condemned, true
+// reject reports whether the version has been found to be worse.
+func (j *Judge) reject() (Decision, bool) {
+	if j.rejected != nil {
+		return *j.rejected, true
 	}
 	j.evidence.classify()
-	d, bad := j.worse()
+	d, bad := j.findWorse()
 	if bad {
-		j.condemned = &d
+		j.rejected = &d
 	}
 	return d, bad
 }
 
-// worse compares the versions on all routes together, at loaded targets and on each route.
-func (j *Judge) worse() (Decision, bool) {
-	if judged, stand := j.evidence.standing(); stand == standsSlow {
-		return Decision{Action: RollBack, Reason: ReasonSlowTargets, Answers: judged, Bad: judged}, true
+// findWorse compares the versions on all routes together, at loaded targets, and on each
+// route.
+func (j *Judge) findWorse() (Decision, bool) {
+	if targets, result := j.evidence.compareTargets(); result == speedSlow {
+		return Decision{Action: RollBack, Reason: ReasonSlowTargets, Answers: targets, Bad: targets}, true
 	}
-	threshold := math.Log(float64(len(badnesses)*len(j.selections(failures))) / falseAlarm)
-	for _, bad := range badnesses {
-		if all := j.evidence.compare(everything, bad); float64(all.bad)-all.expected >= harmed {
-			return all.decision(RollBack, ReasonHarmed), true
+	threshold := math.Log(float64(len(badKinds)*len(j.selections(failures))) / falseAlarmRate)
+	for _, kind := range badKinds {
+		if all := j.evidence.compare(allAnswers, kind); float64(all.bad)-all.expected >= maxExcessBad {
+			return all.decision(RollBack, ReasonExcessBad), true
 		}
-		for _, counts := range j.selections(bad) {
-			if c := j.evidence.compare(counts, bad); c.worse > threshold {
-				return c.decision(RollBack, bad.reason), true
+		for _, include := range j.selections(kind) {
+			if c := j.evidence.compare(include, kind); c.worse > threshold {
+				return c.decision(RollBack, kind.reason), true
 			}
 		}
 	}
 	return Decision{}, false
 }
 
-// selections are what is compared of a kind of bad answer.
-func (j *Judge) selections(bad badness) []selection {
-	selections := []selection{everything}
-	if bad.underLoad {
-		selections = append(selections, loaded)
+// selections returns the selections of answers that are compared for a kind of bad answer.
+func (j *Judge) selections(kind badKind) []selection {
+	selections := []selection{allAnswers}
+	if kind.underLoad {
+		selections = append(selections, loadedTargets)
 	}
 	for _, route := range j.evidence.routes() {
-		selections = append(selections, only(route))
+		selections = append(selections, onRoute(route))
 	}
 	return selections
 }
 
-// clear reports whether the version has been shown to be no worse.
-func (j *Judge) clear() (Decision, bool) {
+// accept reports whether the version has been found to be no worse.
+func (j *Judge) accept() (Decision, bool) {
 	for _, route := range j.evidence.routes() {
-		if c := j.evidence.compare(only(route), failures); c.answers < leastAnswers {
+		if c := j.evidence.compare(onRoute(route), failures); c.answers < minAnswers {
 			return c.decision(Wait, ReasonFewAnswers), false
 		}
 	}
-	if judged, stand := j.evidence.standing(); stand != standsAlike {
-		return Decision{Reason: ReasonSlowTargets, Answers: judged, Bad: judged}, false
+	if targets, result := j.evidence.compareTargets(); result != speedAlike {
+		return Decision{Reason: ReasonSlowTargets, Answers: targets, Bad: targets}, false
 	}
-	for _, bad := range badnesses {
-		if all := j.evidence.compare(everything, bad); all.worse > -bad.cleared {
-			return all.decision(Wait, bad.reason), false
+	for _, kind := range badKinds {
+		if all := j.evidence.compare(allAnswers, kind); all.worse > -kind.acceptThreshold {
+			return all.decision(Wait, kind.reason), false
 		}
-		for _, counts := range j.selections(bad) {
-			c := j.evidence.compare(counts, bad)
-			if c.answers < leastAnswers && c.bad == 0 {
-				// Targets that are never loaded show nothing of how they are under load.
+		for _, include := range j.selections(kind) {
+			c := j.evidence.compare(include, kind)
+			if c.answers < minAnswers && c.bad == 0 {
+				// The targets were hardly ever loaded, so there is no evidence about them
+				// under load.
 				continue
 			}
-			if c.worse > -clearedPart {
-				return c.decision(Wait, bad.reason), false
+			if c.worse > -partAcceptThreshold {
+				return c.decision(Wait, kind.reason), false
 			}
 		}
 	}
-	return j.evidence.compare(everything, failures).decision(Wait, ReasonCleared), true
+	return j.evidence.compare(allAnswers, failures).decision(Wait, ReasonNoWorse), true
 }
 
 func (c comparison) decision(action Action, reason Reason) Decision {
--- a/internal/core/rollout/loads.go
+++ b/internal/core/rollout/loads.go
@@ -3,16 +3,17 @@
 import "math"
 
 const (
-	// maxLoad is the greatest load that is told apart.
+	// maxLoad is the highest load with a factor of its own; higher loads share it.
 	maxLoad = 12
-	// minLoadAnswers is the number of answers from which a load's factor is known.
-	minLoadAnswers = 10
+	// minAnswersPerLoad is the number of answers at a load from which its factor is
+	// computed.
+	minAnswersPerLoad = 10
 )
 
-// loadFactors says how much slower the old version's targets are at each load: the canary
-// is loaded on purpose, and must not count as slow for that.
+// loadFactors estimates how much slower the old version's targets are at each load. The
+// canary is loaded more on purpose and must not count as slow because of that.
 type loadFactors struct {
-	// sums are those of the logarithms of times as multiples of the usual ones.
+	// sums are the sums of the logarithms of times, as multiples of the baseline times.
 	sums   [maxLoad + 1]float64
 	counts [maxLoad + 1]float64
 	sum    float64
@@ -28,17 +29,18 @@
 	f.count++
 }
 
-// factor is the time at a load as a multiple of the mean over all loads. For a load that
-// the old version has not been seen at it is taken from the nearest one below: a target
-// that shares its time slows down in proportion to its load, one that runs batches hardly,
-// and the square root is between. Left out, slow answers would hide themselves, since a
-// slow version is loaded more.
+// factor returns the time at a load as a multiple of the mean over all loads. A load at
+// which the old version was not observed takes the factor of the nearest lower load,
+// multiplied by the square root of the ratio of the loads: a target that shares its time
+// slows down in proportion to its load, one that runs batches hardly slows down, and the
+// square root lies between. Without this extrapolation slow answers would hide themselves,
+// since a slow version has a higher load.
 func (f *loadFactors) factor(load int) float64 {
 	load = min(max(load, 1), maxLoad)
-	for known := load; known >= 1; known-- {
-		if f.counts[known] >= minLoadAnswers {
-			seen := math.Exp(f.sums[known]/f.counts[known] - f.sum/f.count)
-			return seen * math.Sqrt(float64(load)/float64(known))
+	for measured := load; measured >= 1; measured-- {
+		if f.counts[measured] >= minAnswersPerLoad {
+			factor := math.Exp(f.sums[measured]/f.counts[measured] - f.sum/f.count)
+			return factor * math.Sqrt(float64(load)/float64(measured))
 		}
 	}
 	return 1
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,26 +1,26 @@
-// Package rollout moves a service's traffic from the version that serves it to a new
-// one, and back if the new one is bad.
+// Package rollout moves a service's traffic from the version in use to a new one, and back
+// if the new one is worse.
 //
-// The operators order a roll-out and start servers of the new version beside the old
-// ones. A part of the traffic, the canary, goes to a few of the new servers. One entry,
-// the leader, compares what all entries see of both versions at the same moments. It
-// rolls back as soon as the new version is worse. If it is not, the leader shifts all
-// traffic shortly before the deadline, waits until nothing runs on old servers any more,
-// and completes: the old servers are stopped then, without draining.
+// The operators order a roll-out and start servers of the new version beside the old ones. A
+// share of the traffic, the canary traffic, goes to a few of the new servers. One entry, the
+// leader, compares what all entries observe of both versions at the same time. It rolls back
+// as soon as the new version is found to be worse. Otherwise the leader shifts all traffic
+// shortly before the deadline, waits until no request runs on an old server, and completes
+// the roll-out. The old servers are then stopped without draining.
 //
-// A Tracker is what each entry keeps of one roll-out: where its requests go, and what it
-// has seen. A Judge is what the leader makes of all entries' observations. A Record is
-// what lasts in the store; each step is in the store before any entry follows it, but for
-// the way back, which is safe at any time before the completion.
+// A Tracker is the state of one roll-out at each entry: where requests go, and what the
+// entry has observed. A Judge is used by the leader only and evaluates the observations of
+// all entries. A Record is the state in the store. Every step is stored before any entry
+// follows it, except rolling back, which is safe at any time before the completion.
 //
-// The invariant that bounds the damage of a bad version: an entry draws for each request
-// whether it goes to the canary, with a chance below the share that the operators allow.
-// It needs no word of anybody for that, so the bound holds for entries that are cut off,
-// have restarted or follow no leader. An entry that has not heard the leader for a while
-// sends nothing to the canary at all.
+// The damage of a bad version is bounded by one rule: an entry draws for each request
+// whether it goes to the canary, with a probability below the share that the operators
+// allow. This needs no communication, so the bound also holds for entries that are
+// partitioned, have restarted or follow no leader. An entry that has not heard from the
+// leader within a time-out sends nothing to the canary.
 //
-// Time is an argument and nothing here waits or does I/O. Neither type is safe for
-// concurrent use.
+// Time is passed as an argument, and nothing in this package blocks or does I/O. Trackers
+// and Judges are not safe for concurrent use.
 package rollout
 
 import (
@@ -31,28 +31,31 @@
 
 // Order is the operators' order to move a service to a version.
 type Order struct {
-	// ID rises with each order; a later one for the same service replaces the earlier.
+	// ID increases with each order. A later order for the same service replaces the earlier
+	// one.
 	ID      int64
 	Service string
-	// To is the version to move to.
+	// To is the new version.
 	To string
-	// Duration is the time from the order in which the operators want it decided.
+	// Duration is the time after the order by which the roll-out has to be completed or
+	// rolled back.
 	Duration time.Duration
 }
 
-// Phase is how far a roll-out has come. It only rises.
+// Phase is the progress of a roll-out. It only increases.
 type Phase uint8
 
 const (
-	// Unknown: this entry does not know how far it is.
+	// Unknown: this entry has not read the phase yet.
 	Unknown Phase = iota
-	// Canary: a part of the traffic goes to the new version.
+	// Canary: a share of the traffic goes to the new version.
 	Canary
-	// Shifting: all new requests go to the new version; those at old servers end.
+	// Shifting: all new requests go to the new version; requests at old servers run to their
+	// end.
 	Shifting
-	// Completed: the new version has all traffic, the old servers are stopped.
+	// Completed: all traffic goes to the new version, and the old servers are stopped.
 	Completed
-	// RolledBack: the old version has all traffic, the new servers drain.
+	// RolledBack: all traffic goes to the old version, and the new servers drain.
 	RolledBack
 )
 
@@ -63,72 +66,73 @@
 // Final reports whether the roll-out has ended.
 func (p Phase) Final() bool { return p >= Completed }
 
-// Record is what the store keeps of a roll-out.
+// Record is the state of a roll-out in the store.
 type Record struct {
 	Order
 	Phase Phase
-	// From are the versions that served when it began.
+	// From lists the versions in use when the roll-out began.
 	From []string
-	// Began is when the order was first seen, by the time of day of who saw it.
+	// Began is when the order was first seen, by the wall clock of the entry that saw it.
 	Began time.Time
 }
 
-// Bounds are the operators' promises that a roll-out has to keep.
+// Bounds are the limits set by the operators that a roll-out has to keep.
 type Bounds struct {
-	// ExposureShare is the part of a service's requests, between order and deadline, that a
-	// bad version may get.
+	// ExposureShare is the share of a service's requests, between order and deadline, that a
+	// bad version may receive.
 	ExposureShare float64
-	// StopWithin is the time in which a version that has been shown to be bad has to get
-	// nothing any more.
+	// StopWithin is the time within which a version that has been found to be bad must no
+	// longer receive requests.
 	StopWithin time.Duration
 }
 
-// RouteKey names a route in observations.
+// RouteKey returns the key of a route in observations.
 func RouteKey(host, prefix string) uint32 { return uint32(xxhash.Sum64String(host + prefix)) }
 
-// TargetKey names a target in observations.
+// TargetKey returns the key of a target in observations.
 func TargetKey(incarnation string) uint32 { return uint32(xxhash.Sum64String(incarnation)) }
 
-// Observation is what one answer showed of a target.
+// Observation is what an entry measured of one answer of a target.
 type Observation struct {
-	// Number rises with each observation of an entry.
+	// Number increases with each observation of an entry.
 	Number uint64
 	Route  uint32
 	Target uint32
-	// New: the target has the new version.
+	// New reports whether the target runs the new version.
 	New bool
-	// Load is the number of requests at the target when this one was sent, itself included;
-	// Loaded: that was more than half of what it runs at once.
+	// Load is the number of requests at the target when this one was sent, including itself.
+	// Loaded reports whether that was more than half of the target's slots.
 	Load   int
 	Loaded bool
-	// Failed: the target answered with a failure of its own, or broke off. Severed: the
-	// connection ended or fell silent, which ends all that runs there at once.
+	// Failed: the target answered with an error of its own, or aborted the answer. Severed:
+	// the connection was lost or timed out, which ends all requests on it at once.
 	Failed, Severed bool
-	// Pace is the mean pause between a stream's events, or the time to another answer;
-	// First the time to a stream's first event for each token that had to be read, times
-	// 1,000; 0: not measured.
+	// Pace is the mean interval between the events of a stream, or the time to an answer
+	// that is not streamed. First is the time to the first event of a stream, per 1,000
+	// tokens that had to be read. 0: not measured.
 	Pace, First time.Duration
 	// Took is how long the request was at the target.
 	Took time.Duration
 }
 
-// Report is what an entry tells the leader.
+// Report is sent by each entry to the leader.
 type Report struct {
 	Order int64
 	Phase Phase
-	// OldEngaged is the number of requests that it has at old servers or waiting for one.
+	// OldEngaged is the entry's number of requests that run at old servers or wait for one.
 	OldEngaged int
-	// New and Old are the latest observations of each version, oldest first. Most were in
-	// earlier reports: reports may be lost, and another leader may have got them.
+	// New and Old are the latest observations of each version, oldest first. They overlap
+	// with earlier reports, because reports may be lost or may have gone to another leader.
 	New, Old []Observation
 }
 
-// Step is what the leader tells the entries.
+// Step is sent by the leader to the entries.
 type Step struct {
 	Service string
 	Order   int64
 	Phase   Phase
-	// Halt: nothing goes to the new version, whether or not the store says so yet.
+	// Halt: no request goes to the new version, even if the store does not have the
+	// roll-back yet.
 	Halt bool
 	// Elapsed is the time since the order.
 	Elapsed time.Duration
--- a/internal/core/rollout/simulation_test.go
+++ b/internal/core/rollout/simulation_test.go
@@ -11,52 +11,56 @@
 	"sycamoretrail/internal/core/rollout"
 )
 
-// flaw says what is wrong with a version.
+// flaw is what is wrong with a version.
 type flaw struct {
 	name string
-	// part of its answers fail, or take times as long where times is over 1.
-	part, times float64
-	// after is when it begins, as part of the duration; loaded: only on servers with so
-	// much of their places taken; route: only on this one, -1: on all.
-	after, loaded float64
-	route         int
+	// share of its answers fail or, with a slowdown over 1, take that many times as long.
+	share, slowdown float64
+	// after is when it begins, as a share of the duration. minLoad limits it to servers with
+	// at least this share of their slots in use, route to one route; -1: all routes.
+	after, minLoad float64
+	route          int
 }
 
-func (f flaw) bad() bool { return f.part > 0 }
+func (f flaw) bad() bool { return f.share > 0 }
 
-// fault says what else goes wrong, at parts of the duration.
+// fault is what else goes wrong, at times given as shares of the duration.
 type fault struct {
 	name string
-	// leaderDies, allDie: processes end at this time and come back a second later.
-	leaderDies, allDie float64
-	// storeFrom to storeTo the store does not answer.
+	// leaderCrash and allCrash: the leader, or all entries, crash at this time and restart a
+	// second later.
+	leaderCrash, allCrash float64
+	// The store is unavailable between storeFrom and storeTo.
 	storeFrom, storeTo float64
-	// cut is the part of the entries that hears nobody between cutFrom and cutTo.
-	cut, cutFrom, cutTo float64
+	// partitioned is the share of the entries without any connection between partitionFrom
+	// and partitionTo.
+	partitioned, partitionFrom, partitionTo float64
 	// burst multiplies the traffic between burstFrom and burstTo.
 	burst, burstFrom, burstTo float64
-	// grey is the part of all servers' answers, old and new, that fails between greyFrom
-	// and greyTo.
-	grey, greyFrom, greyTo float64
-	// slowdown is how many times as long all answers, old and new, take between slowFrom
-	// and slowTo.
+	// failing is the share of all servers' answers, old and new, that fail between failFrom
+	// and failTo.
+	failing, failFrom, failTo float64
+	// slowdown is how many times as long all answers, old and new, take between slowFrom and
+	// slowTo.
 	slowdown, slowFrom, slowTo float64
-	// crash is when one server in six ends with all that runs there.
-	crash float64
+	// serverCrash is when one server in six crashes with all its requests.
+	serverCrash float64
 }
 
 // load is the traffic of a service and its servers.
 type load struct {
 	name string
-	// servers of each version, with places each; perS requests a second.
+	// servers is the number of servers of each version, slots that of each server; ratePerS
+	// is in requests per second.
 	servers, slots int
-	perS           float64
-	// routes are the parts of the traffic.
+	ratePerS       float64
+	// routes are the shares of the routes in the traffic.
 	routes []float64
-	// hold is the mean time of a request at a server of mean speed; spread the sigma of its
-	// logarithm.
-	hold, spread float64
-	// speeds are those of servers; errors the part of answers that fails at any version.
+	// meanDuration is the mean time of a request at a server of mean speed; sigma is the
+	// standard deviation of its logarithm.
+	meanDuration, sigma float64
+	// speeds are the servers' speed factors; errors is the share of answers that fail at any
+	// version.
 	speeds  []float64
 	errors  float64
 	entries int
@@ -64,8 +68,8 @@
 	streams bool
 }
 
-// model is one simulated roll-out.
-type model struct {
+// sim is one simulated roll-out.
+type sim struct {
 	seed     uint64
 	rng      *rand.Rand
 	now      time.Time
@@ -84,34 +88,35 @@
 	writing  bool
 
 	total, exposed, badAnswers int
-	// canary is the part that the new version had got when the shift was decided.
-	canary                   float64
-	fiftieth                 time.Time
-	lateExposed, cutRequests int
-	finalAt                  time.Time
-	reason                   rollout.Reason
+	// canary is the share of the requests that the new version had received when the shift
+	// was decided.
+	canary                       float64
+	fiftiethBad                  time.Time
+	lateExposed, abortedRequests int
+	finalAt                      time.Time
+	reason                       rollout.Reason
 }
 
 type server struct {
 	catalog.Target
-	speed    float64
-	running  int
-	downTill time.Time
-	ends     int
+	speed     float64
+	inFlight  int
+	downUntil time.Time
+	stops     int
 }
 
 type entry struct {
-	index       int
-	incarnation uint64
-	tracker     *rollout.Tracker
-	engaged     int
-	downTill    time.Time
-	pools       map[string][]*server
-	placed      placement
+	index          int
+	incarnation    uint64
+	tracker        *rollout.Tracker
+	oldOutstanding int
+	downUntil      time.Time
+	pools          map[string][]*server
+	placedFor      placementKey
 }
 
-// placement is what an entry's placing of targets rests on.
-type placement struct {
+// placementKey identifies the state for which an entry has placed its targets.
+type placementKey struct {
 	phase rollout.Phase
 	down  int
 	known bool
@@ -135,19 +140,19 @@
 	return last
 }
 
-func (m *model) after(d time.Duration, do func()) {
+func (m *sim) after(d time.Duration, do func()) {
 	heap.Push(&m.events, event{m.now.Add(d), do})
 }
 
 const (
-	oneWay      = 3 * time.Millisecond
-	storeAnswer = 8 * time.Millisecond
-	lost        = 0.02
-	tickEvery   = 250 * time.Millisecond
+	networkDelay = 3 * time.Millisecond
+	storeLatency = 8 * time.Millisecond
+	lossRate     = 0.02
+	tickInterval = 250 * time.Millisecond
 )
 
-func newModel(seed uint64, l load, f flaw, t fault, duration time.Duration) *model {
-	m := &model{
+func newSim(seed uint64, l load, f flaw, t fault, duration time.Duration) *sim {
+	m := &sim{
 		seed: seed,
 		rng:  rand.New(rand.NewPCG(seed, 1)), start: time.UnixMilli(1_700_000_000_000 + int64(seed%1000)), load: l, flaw: f, fault: t,
 		order:  rollout.Order{ID: 7, Service: "engines", To: "v2", Duration: duration},
@@ -166,55 +171,55 @@
 	}
 	for i := range l.entries {
 		m.entries = append(m.entries, &entry{index: i})
-		m.begin(m.entries[i])
-		m.after(time.Duration(m.rng.Float64()*float64(tickEvery)), func() { m.tick(m.entries[i]) })
+		m.startEntry(m.entries[i])
+		m.after(time.Duration(m.rng.Float64()*float64(tickInterval)), func() { m.tick(m.entries[i]) })
 	}
 	m.arrivals()
-	m.strike()
+	m.scheduleFaults()
 	return m
 }
 
-// begin starts an entry's process: it knows the order, and what the store has.
-func (m *model) begin(e *entry) {
+// startEntry starts an entry's process, which reads the order and the record in the store.
+func (m *sim) startEntry(e *entry) {
 	e.incarnation++
-	e.engaged = 0
+	e.oldOutstanding = 0
 	e.tracker = rollout.NewTracker(m.now, m.order, m.bounds)
-	e.placed = placement{}
-	m.place(e)
+	e.placedFor = placementKey{}
+	m.placeTargets(e)
 	if m.now.After(m.start) {
 		m.readStore(e)
 	}
 }
 
-func (m *model) readStore(e *entry) {
+func (m *sim) readStore(e *entry) {
 	incarnation := e.incarnation
-	m.after(storeAnswer, func() {
+	m.after(storeLatency, func() {
 		if m.storeUp() && e.incarnation == incarnation {
 			e.tracker.Restore(m.now, m.store)
-			m.place(e)
+			m.placeTargets(e)
 		}
 	})
 }
 
-func (m *model) place(e *entry) {
+func (m *sim) placeTargets(e *entry) {
 	down := 0
 	for _, list := range [][]*server{m.old, m.new} {
 		for _, s := range list {
-			if m.now.Before(s.downTill) {
+			if m.now.Before(s.downUntil) {
 				down++
 			}
 		}
 	}
-	rests := placement{e.tracker.Phase(), down, true}
-	if e.placed == rests && !e.tracker.TurnDue(m.now) {
+	key := placementKey{e.tracker.Phase(), down, true}
+	if e.placedFor == key && !e.tracker.TurnDue(m.now) {
 		return
 	}
-	e.placed = rests
+	e.placedFor = key
 	byID := make(map[string]*server)
 	var targets []catalog.Target
 	for _, list := range [][]*server{m.old, m.new} {
 		for _, s := range list {
-			if m.now.Before(s.downTill) {
+			if m.now.Before(s.downUntil) {
 				continue
 			}
 			byID[s.ID] = s
@@ -227,43 +232,43 @@
 	}
 }
 
-func (m *model) part() float64 { return m.now.Sub(m.start).Seconds() / m.order.Duration.Seconds() }
+func (m *sim) progress() float64 { return m.now.Sub(m.start).Seconds() / m.order.Duration.Seconds() }
 
 func within(at, from, to float64) bool { return to > from && at >= from && at < to }
 
-func (m *model) storeUp() bool { return !within(m.part(), m.fault.storeFrom, m.fault.storeTo) }
+func (m *sim) storeUp() bool { return !within(m.progress(), m.fault.storeFrom, m.fault.storeTo) }
 
-// reaches reports whether two entries hear each other.
-func (m *model) reaches(a, b *entry) bool {
-	if m.now.Before(a.downTill) || m.now.Before(b.downTill) {
+// reaches reports whether a message between two entries arrives.
+func (m *sim) reaches(a, b *entry) bool {
+	if m.now.Before(a.downUntil) || m.now.Before(b.downUntil) {
 		return false
 	}
-	if within(m.part(), m.fault.cutFrom, m.fault.cutTo) {
-		limit := m.fault.cut * float64(len(m.entries))
-		// The first in order are spared, so that the leader stays.
+	if within(m.progress(), m.fault.partitionFrom, m.fault.partitionTo) {
+		limit := m.fault.partitioned * float64(len(m.entries))
+		// The first entries are never partitioned, so that the leader stays connected.
 		last := float64(len(m.entries)) - limit
 		if float64(a.index) >= last || float64(b.index) >= last {
 			return a == b
 		}
 	}
-	return m.rng.Float64() >= lost
+	return m.rng.Float64() >= lossRate
 }
 
-func (m *model) arrivals() {
-	rate := m.load.perS
-	if within(m.part(), m.fault.burstFrom, m.fault.burstTo) {
+func (m *sim) arrivals() {
+	rate := m.load.ratePerS
+	if within(m.progress(), m.fault.burstFrom, m.fault.burstTo) {
 		rate *= m.fault.burst
 	}
 	m.after(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		e := m.entries[m.rng.IntN(len(m.entries))]
-		if !m.now.Before(e.downTill) {
+		if !m.now.Before(e.downUntil) {
 			m.request(e)
 		}
 		m.arrivals()
 	})
 }
 
-func (m *model) route() int {
+func (m *sim) route() int {
 	draw := m.rng.Float64()
 	for i, share := range m.load.routes {
 		if draw -= share; draw < 0 {
@@ -273,76 +278,76 @@
 	return 0
 }
 
-func (m *model) request(e *entry) {
+func (m *sim) request(e *entry) {
 	route := m.route()
-	if m.part() <= 1 {
+	if m.progress() <= 1 {
 		m.total++
 	}
 	pool := "engines"
 	if e.tracker.UsesNew(m.now, uint32(route), m.rng.Float64()) {
 		pool = e.tracker.NewPool()
 	}
-	s := least(e.pools[pool])
-	if pool != "engines" && e.tracker.Phase() == rollout.Canary && (s == nil || s.running >= s.Slots) {
-		pool, s = "engines", least(e.pools["engines"])
+	s := leastLoaded(e.pools[pool])
+	if pool != "engines" && e.tracker.Phase() == rollout.Canary && (s == nil || s.inFlight >= s.Slots) {
+		pool, s = "engines", leastLoaded(e.pools["engines"])
 	}
-	if s == nil || m.now.Before(s.downTill) {
+	if s == nil || m.now.Before(s.downUntil) {
 		return
 	}
-	m.run(e, s, route)
+	m.serve(e, s, route)
 }
 
-func least(servers []*server) *server {
+func leastLoaded(servers []*server) *server {
 	var best *server
 	for _, s := range servers {
-		if best == nil || s.running < best.running {
+		if best == nil || s.inFlight < best.inFlight {
 			best = s
 		}
 	}
 	return best
 }
 
-func (m *model) run(e *entry, s *server, route int) {
+func (m *sim) serve(e *entry, s *server, route int) {
 	isNew := s.Version == "v2"
-	if isNew && m.part() <= 1 {
+	if isNew && m.progress() <= 1 {
 		m.exposed++
 	}
-	if isNew && !m.fiftieth.IsZero() && m.now.Sub(m.fiftieth) > m.bounds.StopWithin {
+	if isNew && !m.fiftiethBad.IsZero() && m.now.Sub(m.fiftiethBad) > m.bounds.StopWithin {
 		m.lateExposed++
 	}
-	s.running++
-	taken := float64(s.running) / float64(s.Slots)
-	crowd := 1 + 0.25*float64(s.running-1) + max(0, taken-1)
-	hold := m.load.hold * s.speed * crowd * math.Exp(m.rng.NormFloat64()*m.load.spread)
+	s.inFlight++
+	utilization := float64(s.inFlight) / float64(s.Slots)
+	sharing := 1 + 0.25*float64(s.inFlight-1) + max(0, utilization-1)
+	duration := m.load.meanDuration * s.speed * sharing * math.Exp(m.rng.NormFloat64()*m.load.sigma)
 	if m.rng.Float64() < 0.01 {
-		hold *= 3
+		duration *= 3
 	}
-	first := 0.3 * crowd * s.speed * math.Exp(m.rng.NormFloat64()*0.4)
-	if within(m.part(), m.fault.slowFrom, m.fault.slowTo) {
-		hold, first = hold*m.fault.slowdown, first*m.fault.slowdown
+	first := 0.3 * sharing * s.speed * math.Exp(m.rng.NormFloat64()*0.4)
+	if within(m.progress(), m.fault.slowFrom, m.fault.slowTo) {
+		duration, first = duration*m.fault.slowdown, first*m.fault.slowdown
 	}
 	bad, failed := false, m.rng.Float64() < m.load.errors
-	if isNew && m.flaw.bad() && m.part() >= m.flaw.after && taken >= m.flaw.loaded && (m.flaw.route < 0 || m.flaw.route == route) && m.rng.Float64() < m.flaw.part {
+	if isNew && m.flaw.bad() && m.progress() >= m.flaw.after && utilization >= m.flaw.minLoad && (m.flaw.route < 0 || m.flaw.route == route) && m.rng.Float64() < m.flaw.share {
 		bad = true
-		if m.flaw.times > 1 {
-			hold, first = hold*m.flaw.times, first*m.flaw.times
+		if m.flaw.slowdown > 1 {
+			duration, first = duration*m.flaw.slowdown, first*m.flaw.slowdown
 		} else {
 			failed = true
 		}
 	}
-	if within(m.part(), m.fault.greyFrom, m.fault.greyTo) && m.rng.Float64() < m.fault.grey {
+	if within(m.progress(), m.fault.failFrom, m.fault.failTo) && m.rng.Float64() < m.fault.failing {
 		failed = true
 	}
 	if failed {
-		hold *= 0.2
+		duration *= 0.2
 	}
-	took := time.Duration(min(hold, 8) * float64(time.Second))
-	incarnation, ends, load := e.incarnation, s.ends, s.running
+	took := time.Duration(min(duration, 8) * float64(time.Second))
+	incarnation, stops, load := e.incarnation, s.stops, s.inFlight
 	if !isNew {
-		e.engaged++
+		e.oldOutstanding++
 	}
 	done := func(severed bool) {
-		s.running--
+		s.inFlight--
 		if bad {
 			m.countBad()
 		}
@@ -350,7 +355,7 @@
 			return
 		}
 		if !isNew {
-			e.engaged--
+			e.oldOutstanding--
 		}
 		o := rollout.Observation{Route: uint32(route), Target: rollout.TargetKey(s.ID), New: isNew, Load: load, Loaded: 2*load > s.Slots, Failed: failed || severed, Severed: severed, Took: took}
 		if !o.Failed {
@@ -362,29 +367,30 @@
 		}
 		e.tracker.Observed(o)
 	}
-	m.after(took, func() { done(s.ends != ends) })
+	m.after(took, func() { done(s.stops != stops) })
 }
 
-func (m *model) countBad() {
+func (m *sim) countBad() {
 	m.badAnswers++
 	if m.badAnswers == 50 {
-		m.fiftieth = m.now
+		m.fiftiethBad = m.now
 	}
 }
 
-// tick is what an entry does at its pace: the leader decides and tells, the others report.
-func (m *model) tick(e *entry) {
-	m.after(tickEvery, func() { m.tick(e) })
-	if m.now.Before(e.downTill) {
+// tick is run by an entry at regular intervals: the leader decides and sends steps, the
+// others report.
+func (m *sim) tick(e *entry) {
+	m.after(tickInterval, func() { m.tick(e) })
+	if m.now.Before(e.downUntil) {
 		return
 	}
-	m.place(e)
+	m.placeTargets(e)
 	if e.index == m.leader {
 		m.lead(e)
 		return
 	}
-	leader, report, incarnation := m.entries[m.leader], e.tracker.Report(e.engaged), e.incarnation
-	m.after(oneWay, func() {
+	leader, report, incarnation := m.entries[m.leader], e.tracker.Report(e.oldOutstanding), e.incarnation
+	m.after(networkDelay, func() {
 		if m.reaches(e, leader) && m.judge != nil {
 			m.judge.Take(m.now, fmt.Sprint(e.index), incarnation, report)
 		}
@@ -394,14 +400,14 @@
 	}
 }
 
-func (m *model) lead(e *entry) {
+func (m *sim) lead(e *entry) {
 	if m.judge == nil {
 		m.judge = rollout.NewJudge(m.now, m.order)
 	}
-	m.judge.Take(m.now, fmt.Sprint(e.index), e.incarnation, e.tracker.Report(e.engaged))
+	m.judge.Take(m.now, fmt.Sprint(e.index), e.incarnation, e.tracker.Report(e.oldOutstanding))
 	var live []string
 	for _, other := range m.entries {
-		if !m.now.Before(other.downTill) && (other == e || m.reaches(e, other) || m.reaches(e, other)) {
+		if !m.now.Before(other.downUntil) && (other == e || m.reaches(e, other) || m.reaches(e, other)) {
 			live = append(live, fmt.Sprint(other.index))
 		}
 	}
@@ -409,18 +415,18 @@
 	if d.Action != rollout.Wait {
 		m.write(e, d)
 	}
-	m.tell(e, d.Action == rollout.RollBack)
+	m.broadcast(e, d.Action == rollout.RollBack)
 }
 
-// write puts the next phase into the store, unless it has another one by now.
-func (m *model) write(e *entry, d rollout.Decision) {
+// write stores the next phase, unless the store already has a later one.
+func (m *sim) write(e *entry, d rollout.Decision) {
 	if m.writing {
 		return
 	}
 	m.writing = true
-	m.after(storeAnswer, func() {
+	m.after(storeLatency, func() {
 		m.writing = false
-		if !m.storeUp() || m.now.Before(e.downTill) {
+		if !m.storeUp() || m.now.Before(e.downUntil) {
 			return
 		}
 		next := rollout.Record{Order: m.order, From: []string{"v1"}, Phase: d.Action.Phase(), Began: m.now.Add(-e.tracker.Elapsed(m.now))}
@@ -437,63 +443,63 @@
 			}
 		}
 		e.tracker.Restore(m.now, m.store)
-		m.tell(e, false)
+		m.broadcast(e, false)
 	})
 }
 
-// stopOld ends the old servers at once.
-func (m *model) stopOld() {
+// stopOld stops the old servers at once.
+func (m *sim) stopOld() {
 	for _, s := range m.old {
-		m.cutRequests += s.running
-		s.downTill = m.now.Add(time.Hour)
-		s.ends++
+		m.abortedRequests += s.inFlight
+		s.downUntil = m.now.Add(time.Hour)
+		s.stops++
 	}
 }
 
-func (m *model) tell(from *entry, halt bool) {
+func (m *sim) broadcast(from *entry, halt bool) {
 	step := rollout.Step{Order: m.order.ID, Phase: from.tracker.Phase(), Halt: halt, Elapsed: from.tracker.Elapsed(m.now)}
 	from.tracker.Heard(m.now, step)
 	for _, e := range m.entries {
-		m.after(oneWay, func() {
+		m.after(networkDelay, func() {
 			if e != from && m.reaches(from, e) {
 				e.tracker.Heard(m.now, step)
-				m.place(e)
+				m.placeTargets(e)
 			}
 		})
 	}
 }
 
-// strike makes the faults that happen at one time.
-func (m *model) strike() {
+// scheduleFaults schedules the faults that happen at one moment.
+func (m *sim) scheduleFaults() {
 	at := func(part float64) time.Duration {
 		return time.Duration(part * float64(m.order.Duration))
 	}
-	end := func(e *entry) {
-		e.downTill = m.now.Add(time.Second)
+	crash := func(e *entry) {
+		e.downUntil = m.now.Add(time.Second)
 		e.incarnation++
-		m.after(time.Second, func() { m.begin(e) })
+		m.after(time.Second, func() { m.startEntry(e) })
 	}
-	if m.fault.leaderDies > 0 {
-		m.after(at(m.fault.leaderDies), func() {
-			end(m.entries[m.leader])
+	if m.fault.leaderCrash > 0 {
+		m.after(at(m.fault.leaderCrash), func() {
+			crash(m.entries[m.leader])
 			m.after(900*time.Millisecond, func() { m.leader, m.judge, m.writing = 1, nil, false })
 		})
 	}
-	if m.fault.allDie > 0 {
-		m.after(at(m.fault.allDie), func() {
+	if m.fault.allCrash > 0 {
+		m.after(at(m.fault.allCrash), func() {
 			m.judge, m.writing = nil, false
 			for _, e := range m.entries {
-				end(e)
+				crash(e)
 			}
 		})
 	}
-	if m.fault.crash > 0 {
-		m.after(at(m.fault.crash), func() {
+	if m.fault.serverCrash > 0 {
+		m.after(at(m.fault.serverCrash), func() {
 			for _, list := range [][]*server{m.old, m.new} {
 				for i, s := range list {
 					if i%6 == 0 {
-						s.downTill = m.now.Add(2 * time.Second)
-						s.ends++
+						s.downUntil = m.now.Add(2 * time.Second)
+						s.stops++
 					}
 				}
 			}
@@ -501,8 +507,8 @@
 	}
 }
 
-// play runs the roll-out and three seconds more.
-func (m *model) play() *model {
+// run simulates the roll-out and three seconds after its deadline.
+func (m *sim) run() *sim {
 	until := m.start.Add(m.order.Duration + 3*time.Second)
 	for len(m.events) > 0 {
 		next := heap.Pop(&m.events).(event)
@@ -515,15 +521,15 @@
 	return m
 }
 
-// broken reports whether a bad version got more than the operators allow.
-func (m *model) broken() bool {
+// boundBroken reports whether a bad version got more requests than the operators allow.
+func (m *sim) boundBroken() bool {
 	if !m.flaw.bad() {
 		return false
 	}
 	return float64(m.exposed) > m.bounds.ExposureShare*float64(m.total)+50 || m.lateExposed > 0
 }
 
-// inTime reports whether the verdict was in the store before the deadline.
-func (m *model) inTime() bool {
+// inTime reports whether the final phase was in the store before the deadline.
+func (m *sim) inTime() bool {
 	return !m.finalAt.IsZero() && m.finalAt.Sub(m.start) <= m.order.Duration
 }
--- a/internal/core/rollout/slowtargets.go
+++ b/internal/core/rollout/slowtargets.go
@@ -8,170 +8,175 @@
 )
 
 const (
-	// farSlower is how many times as long as the slowest old target a new one has to take to
-	// count as slower by far.
-	farSlower = 2.5
-	// farCondemns is the number of such targets that condemn the version: one may be a sick
-	// server. All of them need not be so slow: where servers are unlike, a fast one that has
-	// become slow passes for a slow old one.
-	farCondemns = 2
-	// farAnswers is the number of a target's answers that show it: its fastest one tells.
-	farAnswers = 2
-	// spreadPart is the part of the old targets from whose times it is known how unlike they
-	// are. Fast ones are known first, as they answer more often.
-	spreadPart = 0.8
-	// falseRanks is the chance at which new targets of the old ones' speeds count as slow.
-	falseRanks = 1e-3
-	// suspectRanks is the chance below which a version is not cleared of it.
-	suspectRanks = 0.03
+	// muchSlowerRatio is how many times as long as the slowest old target a new target takes
+	// to count as much slower.
+	muchSlowerRatio = 2.5
+	// muchSlowerLimit is the number of much slower targets at which the version is rejected.
+	// A single one may be a faulty server. Not all new targets have to be so slow: where
+	// servers differ in speed, a fast one that has become slow is mistaken for a slow old
+	// one.
+	muchSlowerLimit = 2
+	// minMuchSlowerTimes is the number of times from which a target's baseline is used for
+	// this; of two times the baseline is the shorter one.
+	minMuchSlowerTimes = 2
+	// minKnownShare is the share of the old targets that need a baseline before the slowest
+	// one is known. Fast targets have one first, because they answer more often.
+	minKnownShare = 0.8
+	// slowPValue is the p-value below which the new targets count as slow.
+	slowPValue = 1e-3
+	// suspectPValue is the p-value below which the version is not accepted.
+	suspectPValue = 0.03
 )
 
-// standing is how the new version's targets stand among the old ones.
-type standing uint8
+// speedResult is the result of comparing the speeds of new and old targets.
+type speedResult uint8
 
 const (
-	// standsAlike: nothing speaks against them; standsSuspect: they may be slow as a whole, so the
-	// version is not cleared; standsSlow: they are.
-	standsAlike standing = iota
-	standsSuspect
-	standsSlow
+	// speedAlike: no sign that the new targets are slower. speedSuspect: they may be slower,
+	// so the version is not accepted. speedSlow: they are slower.
+	speedAlike speedResult = iota
+	speedSuspect
+	speedSlow
 )
 
 // targetRank compares a new target with the old ones; see rank.
-type targetRank struct{ part, ratio float64 }
+type targetRank struct{ share, ratio float64 }
 
-// standing tells how the new targets stand as a whole, and by how many of them: a version
-// that makes all answers slow changes their usual time, so none stands out.
+// compareTargets compares all new targets with the old ones, and returns the number of
+// targets that the result rests on. A version that makes all answers slow changes its
+// targets' baselines, so no single answer stands out.
 //
-// The part of the old targets that are at least as slow as a new one is uniform if the
-// versions are alike, so the sum of its logarithms has a gamma distribution. Targets of a
-// service differ by a factor of four and more, so that one is slow says nothing.
-func (e *evidence) standing() (judged int, s standing) {
-	ranks, spread := e.ranks(minUsual)
-	judged = len(ranks)
-	chance := chanceOf(ranks)
-	if chance < falseRanks {
-		return judged, standsSlow
+// The share of the old targets that are at least as slow as a new one is uniformly
+// distributed if the versions are equivalent, so the sum of its logarithms has a gamma
+// distribution. Targets of a service differ by a factor of four and more, so one slow target
+// is no evidence.
+func (e *evidence) compareTargets() (targets int, result speedResult) {
+	ranks, complete := e.ranks(minBaselineTimes)
+	targets = len(ranks)
+	p := pValue(ranks)
+	if p < slowPValue {
+		return targets, speedSlow
 	}
-	if spread && judged > 0 && countFar(ranks) == judged {
-		// A service of few servers has one canary, which cannot be compared by rank.
-		return judged, standsSlow
+	if complete && targets > 0 && countMuchSlower(ranks) == targets {
+		// A service with few servers has one canary target, too few for ranks to be
+		// significant.
+		return targets, speedSlow
 	}
-	far := 0
-	if quick, spread := e.ranks(farAnswers); spread {
-		far = countFar(quick)
+	slower := 0
+	if early, complete := e.ranks(minMuchSlowerTimes); complete {
+		slower = countMuchSlower(early)
 	}
 	switch {
-	case far >= farCondemns:
-		return far, standsSlow
-	case far > 0 || chance < suspectRanks:
-		return judged, standsSuspect
+	case slower >= muchSlowerLimit:
+		return slower, speedSlow
+	case slower > 0 || p < suspectPValue:
+		return targets, speedSuspect
 	default:
-		return judged, standsAlike
+		return targets, speedAlike
 	}
 }
 
-// ranks compares the new targets whose times are known from so many answers; spread: it is
-// known how unlike the old ones are.
-func (e *evidence) ranks(least int) (ranks []targetRank, spread bool) {
-	olds := e.oldUsuals(least)
+// ranks compares the new targets that have at least minTimes times with the old ones.
+// complete reports whether enough of the old ones have baselines.
+func (e *evidence) ranks(minTimes int) (ranks []targetRank, complete bool) {
+	oldBaselines := e.oldBaselines(minTimes)
 	for _, t := range e.inOrder {
 		if !t.isNew {
 			continue
 		}
-		if part, ratio, compared := rank(t.usuals(least), olds); compared {
+		if part, ratio, compared := rank(t.baselines(minTimes), oldBaselines); compared {
 			ranks = append(ranks, targetRank{part, ratio})
 		}
 	}
-	return ranks, e.knowsSpread(olds)
+	return ranks, e.knowsEnough(oldBaselines)
 }
 
-// chanceOf is the chance at which new targets, if they are like the old ones, are as slow
-// among these as they are; 1 for none.
-func chanceOf(ranks []targetRank) float64 {
+// pValue returns the probability that new targets that are like the old ones rank as slow as
+// these; 1 without any.
+func pValue(ranks []targetRank) float64 {
 	score := 0.0
 	for _, r := range ranks {
-		score -= math.Log(r.part)
+		score -= math.Log(r.share)
 	}
 	return gammaTail(len(ranks), score)
 }
 
-// countFar is the number of new targets that are slower than any old one by far.
-func countFar(ranks []targetRank) int {
-	far := 0
+// countMuchSlower returns the number of new targets that are much slower than any old one.
+func countMuchSlower(ranks []targetRank) int {
+	n := 0
 	for _, r := range ranks {
-		if r.ratio >= farSlower {
-			far++
+		if r.ratio >= muchSlowerRatio {
+			n++
 		}
 	}
-	return far
+	return n
 }
 
-// knowsSpread reports whether the usual times of so many old targets are known that the
-// slowest of them stands for all.
-func (e *evidence) knowsSpread(usuals map[usualKey][]float64) bool {
-	seen := 0
+// knowsEnough reports whether so many old targets have baselines that the slowest of these
+// can stand for the slowest of all.
+func (e *evidence) knowsEnough(baselines map[baselineKey][]float64) bool {
+	oldTargets := 0
 	for _, t := range e.inOrder {
 		if !t.isNew {
-			seen++
+			oldTargets++
 		}
 	}
-	for _, known := range usuals {
-		if float64(len(known)) < spreadPart*float64(seen) {
+	for _, known := range baselines {
+		if float64(len(known)) < minKnownShare*float64(oldTargets) {
 			return false
 		}
 	}
 	return true
 }
 
-// oldUsuals are the usual times of the old targets, each from so many answers.
-func (e *evidence) oldUsuals(least int) map[usualKey][]float64 {
-	olds := make(map[usualKey][]float64)
+// oldBaselines returns the baselines of the old targets, each from at least minTimes times.
+func (e *evidence) oldBaselines(minTimes int) map[baselineKey][]float64 {
+	baselines := make(map[baselineKey][]float64)
 	for _, t := range e.targets {
 		if t.isNew {
 			continue
 		}
-		for key, usual := range t.usuals(least) {
-			olds[key] = append(olds[key], usual)
+		for key, baseline := range t.baselines(minTimes) {
+			baselines[key] = append(baselines[key], baseline)
 		}
 	}
-	return olds
+	return baselines
 }
 
-// rank compares a new target's usual times with those of the old ones: the part that is at
-// least as slow, and the ratio to the slowest, both in the mean over what is measured and
-// but for the noise.
-func rank(usuals map[usualKey]float64, olds map[usualKey][]float64) (part, ratio float64, compared bool) {
+// rank compares the baselines of a new target with those of the old ones. It returns the
+// share of the old ones that are at least as slow, and the ratio to the slowest, both as
+// means over the baselines and with an allowance of entryDelay.
+func rank(baselines map[baselineKey]float64, oldBaselines map[baselineKey][]float64) (share, ratio float64, compared bool) {
 	n := 0.0
-	for _, key := range sortedKeys(usuals) {
-		usual := usuals[key]
-		if len(olds[key]) == 0 {
+	for _, key := range sortedKeys(baselines) {
+		baseline := baselines[key]
+		if len(oldBaselines[key]) == 0 {
 			continue
 		}
-		slower := 1.0
-		for _, old := range olds[key] {
-			if old+float64(noise) >= usual {
-				slower++
+		atLeastAsSlow := 1.0
+		for _, old := range oldBaselines[key] {
+			if old+float64(entryDelay) >= baseline {
+				atLeastAsSlow++
 			}
 		}
-		part += slower / float64(len(olds[key])+1)
-		ratio += max(0, usual-float64(noise)) / slices.Max(olds[key])
+		share += atLeastAsSlow / float64(len(oldBaselines[key])+1)
+		ratio += max(0, baseline-float64(entryDelay)) / slices.Max(oldBaselines[key])
 		n++
 	}
 	if n == 0 {
 		return 0, 0, false
 	}
-	return part / n, ratio / n, true
+	return share / n, ratio / n, true
 }
 
-func sortedKeys(usuals map[usualKey]float64) []usualKey {
-	return slices.SortedFunc(maps.Keys(usuals), func(a, b usualKey) int {
+func sortedKeys(baselines map[baselineKey]float64) []baselineKey {
+	return slices.SortedFunc(maps.Keys(baselines), func(a, b baselineKey) int {
 		return cmp.Or(cmp.Compare(a.measure, b.measure), cmp.Compare(a.route, b.route))
 	})
 }
 
-// gammaTail is the chance that the sum of n values of the exponential distribution with
-// mean 1 is at least so large.
+// gammaTail returns the probability that the sum of n exponentially distributed values of
+// mean 1 is at least sum.
 func gammaTail(n int, sum float64) float64 {
 	term, total := 1.0, 1.0
 	for k := 1; k < n; k++ {
--- a/internal/core/rollout/tracker.go
+++ b/internal/core/rollout/tracker.go
@@ -10,106 +10,111 @@
 )
 
 const (
-	// canaryShare is the part of the allowed exposure that the canary gets. What is left
-	// covers chance and the requests that all go to the new version before a fault shows
-	// which begins only then.
+	// canaryShare is the canary's share of the allowed exposure. The rest is left for
+	// chance, and for the requests that all go to the new version before a fault that begins
+	// only then is detected.
 	canaryShare = 0.9
-	// clumpPeriod is the time in which a canary of few servers gets one burst of requests:
-	// long against the time of a plain call, short against a roll-out.
-	clumpPeriod = time.Second
-	// stress is how much more a target of the canary gets in a burst than an old one: a
-	// version that is bad under load has to be found by the load of a busy hour.
-	stress = 2.5
-	// maxChance bounds the chance of one request to go to the canary while a burst lasts.
+	// burstPeriod is the time in which a canary of few servers gets one burst of requests:
+	// long compared with the time of a plain call, short compared with a roll-out.
+	burstPeriod = time.Second
+	// burstFactor is how many times the load of an old target a canary target gets in a
+	// burst: a version that is bad under load has to be detected at the load of a busy hour.
+	burstFactor = 2.5
+	// maxChance is the maximum probability of a request to go to the canary during a burst.
 	maxChance = 0.9
-	// leaderSilence is how long an entry sends to the canary without word of the leader,
-	// as a part of the time in which a bad version must be stopped, and at most.
-	leaderSilenceShare = 0.3
-	maxLeaderSilence   = 1500 * time.Millisecond
-	// turnLength is how long a set of new servers is the canary: long enough for some answers
-	// of each, from which its usual time is known.
-	turnLength = 4500 * time.Millisecond
-	// turnsFrom is the number of new servers from which they take turns: where a few serve,
-	// the canary is one, and answers of two would be too few to know either.
-	turnsFrom = 12
-	// newKept and oldKept bound the observations of each version that are told again: with
-	// those of the new one a leader that takes over has nearly all that the one before had,
-	// and both together fit a datagram.
-	newKept = 24
-	oldKept = 16
+	// An entry stops sending to the canary when it has not heard from the leader for
+	// leaderTimeoutShare of the time within which a bad version must be stopped, at most for
+	// maxLeaderTimeout.
+	leaderTimeoutShare = 0.3
+	maxLeaderTimeout   = 1500 * time.Millisecond
+	// rotationPeriod is how long a set of new servers is the canary: long enough for each to
+	// give the answers that its baseline needs.
+	rotationPeriod = 4500 * time.Millisecond
+	// minRotationTargets is the number of new servers from which the canary rotates over
+	// them. With few servers the canary is a single one, and rotating over two would leave
+	// too few answers of either for a baseline.
+	minRotationTargets = 12
+	// maxRecentNew and maxRecentOld are the numbers of observations of each version that are
+	// reported repeatedly. With those of the new one a leader that takes over has nearly all
+	// that the previous leader had, and both together fit a datagram.
+	maxRecentNew = 24
+	maxRecentOld = 16
 )
 
-// Tracker is what one entry keeps of one roll-out.
+// Tracker is one entry's state of one roll-out.
 type Tracker struct {
 	order  Order
 	bounds Bounds
-	// began is when the order came into being, as far as this entry knows.
+	// began is when the order was made, as far as this entry knows.
 	began time.Time
 	phase Phase
-	// from are the versions that are replaced, others those that stand beside the new one.
+	// from lists the versions that are replaced; others lists the versions that run beside
+	// the new one.
 	from, others []string
-	// halted: the leader has said that nothing may go to the new version. heard is when it
-	// was last heard.
-	halted bool
-	heard  time.Time
+	// halted: the leader reported that no request may go to the new version. lastStep is
+	// when the last step of the leader was received.
+	halted   bool
+	lastStep time.Time
 
-	// canaries and olds are the numbers of targets of the canary and of old versions, once
-	// the targets have been placed.
-	placed         bool
-	canaries, olds int
-	// turn is the one for which they have been placed.
-	turn int
-	// routes are the counts of requests by route, which are forgotten slowly.
-	routes map[uint32]float64
-	// requests counts those of the service, fresh those of them that went to the new version.
-	requests, fresh int
+	// canaryTargets and oldTargets are the numbers of targets of the canary and of old
+	// versions, once the targets have been placed.
+	placed                    bool
+	canaryTargets, oldTargets int
+	// rotation is the rotation for which they have been placed.
+	rotation int
+	// routeCounts are exponentially decaying counts of requests by route.
+	routeCounts map[uint32]float64
+	// requests counts the requests of the service, toNew those of them that went to the new
+	// version.
+	requests, toNew int
 	number          uint64
 	// recentNew and recentOld are the latest observations of each version.
 	recentNew, recentOld []Observation
 }
 
-// NewTracker begins to follow an order that has just been read.
+// NewTracker returns a tracker for an order that has just been read.
 func NewTracker(now time.Time, order Order, bounds Bounds) *Tracker {
-	return &Tracker{order: order, bounds: bounds, began: now, routes: make(map[uint32]float64)}
+	return &Tracker{order: order, bounds: bounds, began: now, routeCounts: make(map[uint32]float64)}
 }
 
-// Order is the order that is followed.
+// Order returns the order of the roll-out.
 func (t *Tracker) Order() Order { return t.order }
 
-// Phase is how far the roll-out is known to have come.
+// Phase returns the last known phase of the roll-out.
 func (t *Tracker) Phase() Phase { return t.phase }
 
-// Elapsed is the time since the order.
+// Elapsed returns the time since the order.
 func (t *Tracker) Elapsed(now time.Time) time.Duration { return now.Sub(t.began) }
 
-// Restore takes what the store has of the roll-out. It reports whether that is news.
+// Restore applies the stored record of the roll-out. It reports whether it changed anything.
 func (t *Tracker) Restore(now time.Time, r Record) bool {
 	if r.ID != t.order.ID || r.Phase <= t.phase {
 		return false
 	}
 	t.phase, t.from = r.Phase, r.From
-	// The time of day of another instance may be seconds off: it never puts the beginning
-	// later than known here, nor before the whole duration.
+	// The wall clock of another instance may be off by seconds. It never moves the beginning
+	// later than known here, nor more than the whole duration into the past.
 	if age := min(now.Sub(r.Began), t.order.Duration); now.Add(-age).Before(t.began) {
 		t.began = now.Add(-age)
 	}
 	return true
 }
 
-// Record is what the store should have of the roll-out; its phase is 0 before the first step.
+// Record returns the record to be stored; its phase is 0 before the first step.
 func (t *Tracker) Record() Record {
 	return Record{Order: t.order, Phase: t.phase, From: t.from, Began: t.began}
 }
 
-// Renumber tells that the operators have written the order again, under another id.
+// Renumber sets the id of the order after the operators have written it again under another
+// one.
 func (t *Tracker) Renumber(id int64) { t.order.ID = id }
 
-// Heard takes the leader's word. It reports whether the phase has changed.
+// Heard applies a step of the leader. It reports whether the phase has changed.
 func (t *Tracker) Heard(now time.Time, s Step) bool {
 	if s.Order != t.order.ID || s.Phase < t.phase {
 		return false
 	}
-	t.heard = now
+	t.lastStep = now
 	t.halted = s.Halt
 	if began := now.Add(-s.Elapsed); began.Before(t.began) {
 		t.began = began
@@ -117,42 +122,44 @@
 	changed := s.Phase > t.phase
 	t.phase = s.Phase
 	if changed && t.phase == Completed && len(t.from) == 0 {
-		// The record says what has been replaced; this entry has not read it. Old targets
-		// stay registered for some seconds after they have been stopped.
+		// The record lists the replaced versions, but this entry has not read it. Old
+		// targets stay registered for some seconds after they have been stopped.
 		t.from = t.others
 	}
 	return changed
 }
 
-// LeaderSilent reports whether the leader has not been heard for so long that this entry
-// has to act on its own.
+// LeaderSilent reports whether the leader has been silent for so long that this entry has to
+// act without it.
 func (t *Tracker) LeaderSilent(now time.Time) bool {
-	limit := min(maxLeaderSilence, time.Duration(leaderSilenceShare*float64(t.bounds.StopWithin)))
-	return now.Sub(t.heard) > limit
+	limit := min(maxLeaderTimeout, time.Duration(leaderTimeoutShare*float64(t.bounds.StopWithin)))
+	return now.Sub(t.lastStep) > limit
 }
 
-// canaryOpen reports whether the canary may get requests.
+// canaryOpen reports whether requests may go to the canary.
 func (t *Tracker) canaryOpen(now time.Time) bool {
 	return t.phase == Canary && !t.halted && !t.LeaderSilent(now)
 }
 
-// Requests is the number of requests that have been drawn for, and of those that went to
-// the new version.
-func (t *Tracker) Requests() (all, fresh int) { return t.requests, t.fresh }
+// Requests returns the number of requests that UsesNew was called for, and of those that
+// went to the new version.
+func (t *Tracker) Requests() (all, toNew int) { return t.requests, t.toNew }
 
-// UsesNew draws where a request of a route goes; draw is uniform in [0, 1).
+// UsesNew reports whether a request of a route goes to the new version; draw is uniform in
+// [0, 1).
 func (t *Tracker) UsesNew(now time.Time, route uint32, draw float64) bool {
-	t.count(route)
+	t.countRoute(route)
 	t.requests++
-	fresh := t.usesNew(now, route, draw)
-	if fresh {
-		t.fresh++
+	toNew := t.usesNew(now, route, draw)
+	if toNew {
+		t.toNew++
 	}
-	return fresh
+	return toNew
 }
 
-// RepeatsOnNew reports whether a request that has been tried goes to the new version: to the
-// one that has the traffic, since a second failure of the canary would reach its caller.
+// RepeatsOnNew reports whether the retry of a request goes to the new version. Retries go to
+// the version that has the traffic, since a second failure, at the canary, would reach the
+// caller.
 func (t *Tracker) RepeatsOnNew() bool {
 	return t.phase == Completed || t.phase == Shifting && !t.halted
 }
@@ -165,11 +172,12 @@
 		return false
 	case t.phase == Shifting:
 		return true
-	case t.placed && t.olds == 0:
-		// Nothing else serves: this entry has begun after the end, or the old servers are
-		// lost. Sending nothing to the new ones would turn all callers away.
-		return t.canaries > 0
-	case !t.canaryOpen(now) || t.canaries == 0:
+	case t.placed && t.oldTargets == 0:
+		// There are no old targets: this entry has started after the end of the roll-out, or
+		// the old servers are lost. Sending nothing to the new ones would refuse all
+		// requests.
+		return t.canaryTargets > 0
+	case !t.canaryOpen(now) || t.canaryTargets == 0:
 		return false
 	default:
 		return draw < t.chance(now, route)
@@ -177,49 +185,49 @@
 }
 
 const (
-	// routeMemory is the part by which a route's count is forgotten with each request of
+	// routeDecay is the share by which the counts of all routes decay with each request of
 	// the service.
-	routeMemory = 0.01
-	// routeFloor is the least share of a route in the draw: a rarer one is not steered to
-	// the canary any more than this one.
-	routeFloor = 0.05
+	routeDecay = 0.01
+	// minRouteShare is the lowest share of a route in the draw: rarer routes are not sent to
+	// the canary more often than a route of this share.
+	minRouteShare = 0.05
 )
 
-func (t *Tracker) count(route uint32) {
-	for known := range t.routes {
-		t.routes[known] *= 1 - routeMemory
+func (t *Tracker) countRoute(route uint32) {
+	for counted := range t.routeCounts {
+		t.routeCounts[counted] *= 1 - routeDecay
 	}
-	t.routes[route]++
+	t.routeCounts[route]++
 }
 
-// chance is the probability that a request goes to the canary now. Over all routes and
-// times it is the canary's share. Two things raise it for some requests and lower it for
-// others:
+// chance returns the probability that a request goes to the canary now. Averaged over all
+// routes and times it is the canary's share. Two rules raise it for some requests and lower
+// it for others:
 //
-// A version may be bad on one route only. A rare route would show too few answers in
-// the time, so each route gets the same number of them.
+// A version may be bad on one route only. A rare route would give too few answers in the
+// time, so each route gets the same number of requests.
 //
-// A version may be bad under load only. A service of three servers whose one canary gets
-// a twelfth of the traffic would never load it, so its requests come in bursts. In every
-// other second a canary gets in a burst as much as an old server does, so that their times
-// can be compared, and in the others more than that. What has no free place goes to an old
-// one.
+// A version may be bad under load only. A service of three servers whose one canary gets a
+// twelfth of the traffic would never load it, so its requests come in bursts. In every other
+// second a canary gets as much during its burst as an old server, so that their times can be
+// compared, and in the others more than that. Requests for which the canary has no free slot
+// go to an old server.
 func (t *Tracker) chance(now time.Time, route uint32) float64 {
 	share := canaryShare * t.bounds.ExposureShare
 	total := 0.0
-	for _, count := range t.routes {
+	for _, count := range t.routeCounts {
 		total += count
 	}
-	frequency := max(routeFloor, t.routes[route]/total)
-	chance := share / float64(len(t.routes)) / frequency
-	second := now.UnixNano() / int64(clumpPeriod)
-	burst := share * float64(t.olds) / float64(t.canaries)
+	frequency := max(minRouteShare, t.routeCounts[route]/total)
+	chance := share / float64(len(t.routeCounts)) / frequency
+	second := now.UnixNano() / int64(burstPeriod)
+	burst := share * float64(t.oldTargets) / float64(t.canaryTargets)
 	if second%2 == 1 {
-		burst /= stress
+		burst /= burstFactor
 	}
 	if burst < 1 {
-		into := now.UnixNano() % int64(clumpPeriod)
-		if float64(into) >= burst*float64(clumpPeriod) {
+		elapsed := now.UnixNano() % int64(burstPeriod)
+		if float64(elapsed) >= burst*float64(burstPeriod) {
 			return 0
 		}
 		chance /= burst
@@ -227,44 +235,44 @@
 	return min(maxChance, chance)
 }
 
-// Observed notes what an answer showed.
+// Observed adds an observation.
 func (t *Tracker) Observed(o Observation) {
 	t.number++
 	o.Number = t.number
 	if o.New {
-		t.recentNew = keepLast(t.recentNew, o, newKept)
+		t.recentNew = keepLast(t.recentNew, o, maxRecentNew)
 	} else {
-		t.recentOld = keepLast(t.recentOld, o, oldKept)
+		t.recentOld = keepLast(t.recentOld, o, maxRecentOld)
 	}
 }
 
-func keepLast(kept []Observation, o Observation, most int) []Observation {
-	if len(kept) == most {
+func keepLast(kept []Observation, o Observation, limit int) []Observation {
+	if len(kept) == limit {
 		kept = slices.Delete(kept, 0, 1)
 	}
 	return append(kept, o)
 }
 
-// Report is what the leader is to be told; oldEngaged as in Report.
+// Report returns the report to the leader; oldEngaged is as in Report.
 func (t *Tracker) Report(oldEngaged int) Report {
 	return Report{Order: t.order.ID, Phase: t.phase, OldEngaged: oldEngaged, New: slices.Clone(t.recentNew), Old: slices.Clone(t.recentOld)}
 }
 
-// NewPool is the name under which the new version's targets are scheduled.
+// NewPool returns the name of the pool in which the new version's targets are scheduled.
 func (t *Tracker) NewPool() string { return t.order.Service + "@" + t.order.To }
 
-// Place puts a service's targets into the pool of their version: those that must not get
-// requests are left out. current is the pool of the versions before.
+// Place assigns a service's targets to the pool of their version and leaves out those that
+// must not get requests. current is the pool of the old versions.
 func (t *Tracker) Place(now time.Time, targets []catalog.Target, current string) []catalog.Target {
-	var placed, fresh []catalog.Target
-	t.placed, t.olds, t.turn = true, 0, t.turnAt(now)
+	var placed, newTargets []catalog.Target
+	t.placed, t.oldTargets, t.rotation = true, 0, t.rotationAt(now)
 	if t.phase < Completed {
 		t.others = Froms(targets, t.order.To)
 	}
 	for _, target := range targets {
 		switch {
 		case target.Version == t.order.To:
-			fresh = append(fresh, target)
+			newTargets = append(newTargets, target)
 			continue
 		case t.phase == Completed && slices.Contains(t.from, target.Version):
 			continue
@@ -273,7 +281,7 @@
 		default:
 			target.Service = current
 			if !target.Leaving {
-				t.olds++
+				t.oldTargets++
 			}
 		}
 		placed = append(placed, target)
@@ -281,49 +289,48 @@
 	if t.phase == RolledBack {
 		return placed
 	}
-	if t.phase < Shifting && t.olds > 0 {
-		fresh = t.chosen(fresh)
+	if t.phase < Shifting && t.oldTargets > 0 {
+		newTargets = t.selectCanary(newTargets)
 	}
-	t.canaries = len(fresh)
-	for _, target := range fresh {
+	t.canaryTargets = len(newTargets)
+	for _, target := range newTargets {
 		target.Service = t.NewPool()
 		placed = append(placed, target)
 	}
 	return placed
 }
 
-// chosen are the targets of the canary: few enough that each gets about as much as an old
-// one, the same at all entries, in each turn the next ones.
-func (t *Tracker) chosen(fresh []catalog.Target) []catalog.Target {
-	fresh = slices.DeleteFunc(slices.Clone(fresh), func(target catalog.Target) bool { return target.Leaving })
-	slices.SortFunc(fresh, func(a, b catalog.Target) int {
+// selectCanary returns the targets of the canary: few enough that each gets about as many
+// requests as an old one, the same at all entries, and the next ones in each rotation.
+func (t *Tracker) selectCanary(newTargets []catalog.Target) []catalog.Target {
+	newTargets = slices.DeleteFunc(slices.Clone(newTargets), func(target catalog.Target) bool { return target.Leaving })
+	slices.SortFunc(newTargets, func(a, b catalog.Target) int {
 		return dispatch.Rank(a.Incarnation(), b.Incarnation())
 	})
-	wanted := int(math.Ceil(canaryShare * t.bounds.ExposureShare * float64(t.olds)))
-	wanted = min(len(fresh), max(1, wanted))
+	n := int(math.Ceil(canaryShare * t.bounds.ExposureShare * float64(t.oldTargets)))
+	n = min(len(newTargets), max(1, n))
 	first := 0
-	if len(fresh) >= turnsFrom {
-		first = t.turn * wanted
+	if len(newTargets) >= minRotationTargets {
+		first = t.rotation * n
 	}
-	chosen := make([]catalog.Target, wanted)
+	chosen := make([]catalog.Target, n)
 	for i := range chosen {
-		chosen[i] = fresh[(first+i)%len(fresh)]
+		chosen[i] = newTargets[(first+i)%len(newTargets)]
 	}
 	return chosen
 }
 
-// turnAt says which set of new servers is the canary. Servers of a service differ in speed
-// by a factor of four and more: a fast one whose version makes it five times as slow passes
-// for a slow one, so the more servers are seen the sooner one stands out.
-func (t *Tracker) turnAt(now time.Time) int { return int(t.Elapsed(now) / turnLength) }
+// rotationAt returns the number of the rotation at a time. Servers of a service differ in
+// speed by a factor of four and more, and a fast one whose version makes it five times as
+// slow is mistaken for a slow one. The more servers are observed, the sooner one stands out.
+func (t *Tracker) rotationAt(now time.Time) int { return int(t.Elapsed(now) / rotationPeriod) }
 
-// TurnDue reports whether the targets are to be placed anew, since it is the turn of others
-// to be the canary.
+// TurnDue reports whether the targets have to be placed again because the canary rotates.
 func (t *Tracker) TurnDue(now time.Time) bool {
-	return t.placed && t.phase <= Canary && t.turn != t.turnAt(now)
+	return t.placed && t.phase <= Canary && t.rotation != t.rotationAt(now)
 }
 
-// Froms are the versions of targets other than the new one, sorted.
+// Froms returns the versions of targets other than the new one, sorted.
 func Froms(targets []catalog.Target, to string) []string {
 	var versions []string
 	for _, target := range targets {
--- a/internal/core/rollout/versions.go
+++ b/internal/core/rollout/versions.go
@@ -7,36 +7,36 @@
 	"sycamoretrail/internal/core/catalog"
 )
 
-// Versions tells which versions of a service's targets may be used without an order.
+// Versions decides which versions of a service's targets may be used without an order.
 //
-// Servers of a new version start right after the order to move to it, and an entry may
-// hear of them first: register and orders come by different ways. Until it knows the
-// order it would send them their full share of the traffic. So a version that appears
-// beside others waits until the orders are known as of a later moment than its
-// appearance; where no order came, it is used.
+// Servers of a new version start right after the order to move to it. An entry may discover
+// them before it reads the order, because the target list and the orders arrive separately,
+// and would then send them their full share of the traffic. A version that appears beside
+// others is therefore held back until the orders have been read up to a moment after its
+// appearance. If there is no order for it by then, it is used.
 type Versions struct {
-	known map[string]map[string]bool
-	// seen is when a version that waits was first seen, by service and version.
-	seen map[string]map[string]time.Time
+	inUse map[string]map[string]bool
+	// firstSeen is when a held-back version was first seen, by service and version.
+	firstSeen map[string]map[string]time.Time
 }
 
-// NewVersions makes one that knows no service.
+// NewVersions returns a Versions that has seen no service.
 func NewVersions() *Versions {
-	return &Versions{known: make(map[string]map[string]bool), seen: make(map[string]map[string]time.Time)}
+	return &Versions{inUse: make(map[string]map[string]bool), firstSeen: make(map[string]map[string]time.Time)}
 }
 
 // Settled reports whether a version of a service is in use.
-func (v *Versions) Settled(service, version string) bool { return v.known[service][version] }
+func (v *Versions) Settled(service, version string) bool { return v.inUse[service][version] }
 
-// Usable returns the targets of one service that may be used, and whether others wait.
-// ordersAsOf is the moment as of which the orders are known; served says whether other
-// targets serve the service, which are settled.
+// Usable returns the targets of one service that may be used, and whether others are held
+// back. The orders have been read up to ordersAsOf. served reports whether the service has
+// other targets, whose versions are in use.
 func (v *Versions) Usable(now, ordersAsOf time.Time, service string, targets []catalog.Target, served bool) (usable []catalog.Target, waits bool) {
-	if v.known[service] == nil {
-		v.known[service] = make(map[string]bool)
-		v.seen[service] = make(map[string]time.Time)
+	if v.inUse[service] == nil {
+		v.inUse[service] = make(map[string]bool)
+		v.firstSeen[service] = make(map[string]time.Time)
 		for i := range targets {
-			v.known[service][targets[i].Version] = true
+			v.inUse[service][targets[i].Version] = true
 		}
 	}
 	for i := range targets {
@@ -45,25 +45,25 @@
 		}
 	}
 	if !served && !Serves(usable, service) {
-		// Nothing else serves: waiting would turn all callers away.
+		// There are no other targets: holding these back would refuse all requests.
 		return targets, false
 	}
 	return usable, len(usable) < len(targets)
 }
 
 func (v *Versions) allows(now, ordersAsOf time.Time, service, version string) bool {
-	if v.known[service][version] {
+	if v.inUse[service][version] {
 		return true
 	}
-	seen, found := v.seen[service][version]
+	seen, found := v.firstSeen[service][version]
 	if !found {
 		seen = now
-		v.seen[service][version] = now
+		v.firstSeen[service][version] = now
 	}
 	if !ordersAsOf.After(seen) {
 		return false
 	}
-	v.known[service][version] = true
+	v.inUse[service][version] = true
 	return true
 }
 
