--- a/internal/core/membership/list.go
+++ b/internal/core/membership/list.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// List takes the platform's list of entries. The list lags: a row adds a name to
-// look for, and a row that went drops a name that is silent; a member that is
-// heard stays, whatever the list says. Pass only lists that were really read.
+// List applies the platform's list of entries. The list lags behind: a new row adds a name
+// to connect to, and a missing row removes a name only if it is unresponsive. A member from
+// which heartbeats arrive stays, whatever the list shows. Pass only lists that were read
+// successfully.
 func (m *Membership) List(now time.Time, rows []Instance) {
-	m.touch(now)
-	m.seeds = m.seeds[:0]
+	m.detectPause(now)
+	m.listed = m.listed[:0]
 	for _, p := range m.peers {
 		p.listed = false
 	}
@@ -20,34 +21,35 @@
 			continue
 		}
 		listed[row.Name] = true
-		m.seeds = append(m.seeds, row)
-		m.seed(now, row)
+		m.listed = append(m.listed, row)
+		m.addListed(now, row)
 	}
-	sort.Slice(m.seeds, func(i, j int) bool { return m.seeds[i].Name < m.seeds[j].Name })
+	sort.Slice(m.listed, func(i, j int) bool { return m.listed[i].Name < m.listed[j].Name })
 	m.prune(now)
 }
 
-// seed notes a name. One that is leaving and was never met is not waited for.
-func (m *Membership) seed(now time.Time, row Instance) {
+// addListed adds a listed name. A leaving one that was never connected is ignored.
+func (m *Membership) addListed(now time.Time, row Instance) {
 	p := m.byName[row.Name]
 	if p == nil {
 		if row.Leaving {
 			return
 		}
 		p = m.add(row.Name)
-		p.known = now
+		p.since = now
 		p.Zone, p.PeerAddress = row.Zone, row.Address
 	}
-	p.listed, p.shown = true, true
+	p.listed, p.everListed = true, true
 }
 
-// prune drops names that were listed, are no longer, and are silent with no link.
-// A member that the list has not shown yet is not dropped: the list may only lag.
+// prune drops names that were listed before, are not listed now, and are unresponsive and
+// without a link. A member that has never been listed is kept, since the list may lag
+// behind.
 func (m *Membership) prune(now time.Time) {
 	for i := len(m.peers) - 1; i >= 0; i-- {
 		p := m.peers[i]
-		silent := now.Sub(p.heard) > m.Silence()
-		if p.listed || !p.shown || p.linked || !silent {
+		silent := now.Sub(p.lastContact) > m.Silence()
+		if p.listed || !p.everListed || p.linked || !silent {
 			continue
 		}
 		m.drop(p)
@@ -58,10 +60,10 @@
 	}
 }
 
-// Wanted lists the rows of the last list to which no link stands.
+// Wanted returns the rows of the last list without an open link.
 func (m *Membership) Wanted() []Instance {
 	var wanted []Instance
-	for _, row := range m.seeds {
+	for _, row := range m.listed {
 		p := m.byName[row.Name]
 		if !row.Leaving && (p == nil || !p.linked) {
 			wanted = append(wanted, row)
--- a/internal/core/membership/lookup.go
+++ b/internal/core/membership/lookup.go
@@ -6,24 +6,24 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// Reachable reports whether a link stands to this very incarnation.
+// Reachable reports whether a link to exactly this incarnation is open.
 func (m *Membership) Reachable(incarnation ident.Incarnation) bool {
-	p := m.byInc[incarnation]
+	p := m.byIncarnation[incarnation]
 	return p != nil && p.linked && p.Incarnation == incarnation
 }
 
-// CallerAddress is where callers reach a peer to which a link stands.
+// CallerAddress returns the address for callers of a peer to which a link is open.
 func (m *Membership) CallerAddress(incarnation ident.Incarnation) (string, bool) {
 	if !m.Reachable(incarnation) {
 		return "", false
 	}
-	return m.byInc[incarnation].CallerAddress, true
+	return m.byIncarnation[incarnation].CallerAddress, true
 }
 
-// String tells the change for logs.
+// String describes the change for logs.
 func (c Change) String() string {
 	if c.Kind == Paused {
-		return fmt.Sprintf("this process stood still for %s", c.Gap)
+		return fmt.Sprintf("this process was paused for %s", c.Gap)
 	}
 	return fmt.Sprintf("%s (%s) %s", c.Member.Name, c.Member.Incarnation, c.Kind)
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,18 +1,19 @@
-// Package membership keeps what an entry knows of its peers: who lives, who may
-// schedule targets, whom callers may be sent to.
+// Package membership tracks an entry's peers: which of them are live, which may schedule
+// targets, and to which of them callers may be sent.
 //
 // Invariants:
 //
-//   - A peer is live only if it is heard and it echoes a heartbeat that was sent
-//     to it within the silence limit, so a link cut in one direction, and a
-//     process that was paused, are seen at both ends.
-//   - One incarnation lives under a name; a replaced one never comes back.
-//   - The platform's list seeds and prunes; it never makes a peer live, and it
-//     never removes one that is heard.
-//   - Nobody that is starting, draining, silent or cut off is an answer to
-//     "which entry" or a scheduler.
+//   - A peer is live only if its heartbeats arrive and it echoes a heartbeat that was sent
+//     to it within the failure-detection timeout. A link that fails in one direction, and a
+//     process that was paused, are therefore detected at both ends.
+//   - One incarnation at a time is live under a name; a replaced one never becomes live
+//     again.
+//   - The platform's list adds and removes names. It never makes a peer live, and it never
+//     removes one from which heartbeats arrive.
+//   - An entry that is starting, draining, unresponsive or disconnected is neither returned
+//     to callers nor a scheduler.
 //
-// The state is not safe for concurrent use.
+// A Membership is not safe for concurrent use.
 package membership
 
 import (
@@ -24,39 +25,39 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// Config sets the intervals. Heartbeat and Silence hold for up to ScaleMembers
-// members and grow in steps beyond: by ceil(members / ScaleMembers).
+// Config sets the intervals. Heartbeat and Silence apply to up to ScaleMembers members and
+// grow in steps beyond, by a factor of ceil(members / ScaleMembers).
 type Config struct {
 	// Heartbeat is the time between heartbeats to one peer.
 	Heartbeat time.Duration
-	// Silence is how long a peer may be silent, at least silenceBeats heartbeats.
+	// Silence is the failure-detection timeout, at least minSilenceHeartbeats heartbeats.
 	Silence time.Duration
-	// Removal is how long a peer is silent before it counts as gone for the
-	// quorum. It must exceed how long regions may lose each other.
+	// Removal is the time without contact after which a peer no longer counts for the
+	// quorum. It must exceed the time for which regions may be partitioned.
 	Removal time.Duration
-	// ScaleMembers is the number of members for one step; 0: DefaultScaleMembers.
+	// ScaleMembers is the number of members per step; 0: DefaultScaleMembers.
 	ScaleMembers int
-	// FarDigests: a peer of another zone gets digests with one heartbeat in so
-	// many; 0: DefaultFarDigests.
+	// FarDigests: one heartbeat in this many carries digests to a peer of another zone; 0:
+	// DefaultFarDigests.
 	FarDigests int
-	// Seed spreads heartbeats and answers to "which entry" over the members.
+	// Seed is the random seed that spreads heartbeats, and callers over the members.
 	Seed uint64
 }
 
 const (
-	// DefaultScaleMembers keeps today's sizes at the configured interval; see
-	// docs/design/08-membership.md for what it costs at 410 members.
+	// DefaultScaleMembers keeps current fleet sizes at the configured interval; see
+	// docs/design/08-membership.md for the cost at 410 members.
 	DefaultScaleMembers = 24
 	// DefaultFarDigests sends digests to other zones with one heartbeat in eight.
 	DefaultFarDigests = 8
-	// DefaultRemoval exceeds the hour for which regions may lose each other.
+	// DefaultRemoval exceeds the hour for which regions may be partitioned.
 	DefaultRemoval = 2 * time.Hour
-	// silenceBeats: an echo may be two heartbeats old on a sound link (ours and
-	// the peer's), and one heartbeat may come late.
-	silenceBeats = 4
+	// minSilenceHeartbeats allows for an echo that is two heartbeats old on an intact link
+	// (ours and the peer's), and for one late heartbeat.
+	minSilenceHeartbeats = 4
 )
 
-// Instance is a row of the platform's list for an entry.
+// Instance is a row of the platform's list of entries.
 type Instance struct {
 	Name    string
 	Address string
@@ -64,32 +65,32 @@
 	Leaving bool
 }
 
-// ChangeKind says what happened to a member.
+// ChangeKind is the kind of a change of a member.
 type ChangeKind uint8
 
 const (
-	// MemberLive: it may schedule and take callers now.
+	// MemberLive: it is now live, may schedule targets and take callers.
 	MemberLive ChangeKind = iota
-	// MemberLost: it may no longer.
+	// MemberLost: it is no longer live.
 	MemberLost
-	// MemberReplaced: another incarnation answers under its name.
+	// MemberReplaced: another incarnation runs under its name.
 	MemberReplaced
-	// MemberRemoved: it counts no longer.
+	// MemberRemoved: it no longer counts for the quorum.
 	MemberRemoved
-	// Paused: this process itself stood still longer than the silence limit. All
-	// that it believes may have lapsed: grants, floors, membership, quorum.
+	// Paused: this process was paused for longer than the failure-detection timeout.
+	// Everything it holds may have expired: grants, floors, membership, quorum.
 	Paused
 )
 
-// Change is one finding of Tick.
+// Change is one change that Tick reports.
 type Change struct {
 	Kind   ChangeKind
 	Member message.Member
-	// Gap is how long the process stood still, for Paused.
+	// Gap is the length of the pause, for Paused.
 	Gap time.Duration
 }
 
-// Self is what this entry tells of itself in heartbeats.
+// Self is the status of this entry that its heartbeats carry.
 type Self struct {
 	State         message.State
 	ConfigVersion int64
@@ -97,43 +98,43 @@
 	Digests       []message.Digest
 }
 
-// Membership is the state.
+// Membership is the state of all known peers.
 type Membership struct {
-	cfg     Config
-	member  message.Member
-	self    Self
-	started time.Time
-	last    time.Time // of the last call, to see that the process was paused
-	gap     time.Duration
-	peers   []*peer // by name
-	byName  map[string]*peer
-	byInc   map[ident.Incarnation]*peer
-	former  map[ident.Incarnation]time.Time // replaced, and since when
-	seeds   []Instance                      // of the last list, by name
-	live    []message.Member                // by name; as of the last Tick
-	dirty   bool                            // live must be listed anew
-	changes []Change                        // found between two Ticks
-	random  *rand.Rand
-	turn    int
+	cfg           Config
+	member        message.Member
+	self          Self
+	started       time.Time
+	lastCall      time.Time // for detecting a pause of this process
+	gap           time.Duration
+	peers         []*peer // by name
+	byName        map[string]*peer
+	byIncarnation map[ident.Incarnation]*peer
+	replaced      map[ident.Incarnation]time.Time // with the time of their replacement
+	listed        []Instance                      // rows of the last list, by name
+	live          []message.Member                // by name; as of the last Tick
+	liveStale     bool                            // live has to be rebuilt
+	changes       []Change                        // since the last Tick
+	random        *rand.Rand
+	rotation      int
 }
 
-// New starts with no peers.
+// New returns a membership without peers.
 func New(self message.Member, cfg Config, now time.Time) *Membership {
 	m := &Membership{
-		member:  self,
-		started: now,
-		last:    now,
-		byName:  make(map[string]*peer),
-		byInc:   make(map[ident.Incarnation]*peer),
-		former:  make(map[ident.Incarnation]time.Time),
-		random:  rand.New(rand.NewPCG(cfg.Seed, 0)),
+		member:        self,
+		started:       now,
+		lastCall:      now,
+		byName:        make(map[string]*peer),
+		byIncarnation: make(map[ident.Incarnation]*peer),
+		replaced:      make(map[ident.Incarnation]time.Time),
+		random:        rand.New(rand.NewPCG(cfg.Seed, 0)),
 	}
-	m.turn = m.random.IntN(1 << 16)
+	m.rotation = m.random.IntN(1 << 16)
 	m.Configure(cfg)
 	return m
 }
 
-// Configure puts new intervals in force.
+// Configure applies new intervals.
 func (m *Membership) Configure(cfg Config) {
 	if cfg.ScaleMembers <= 0 {
 		cfg.ScaleMembers = DefaultScaleMembers
@@ -144,31 +145,32 @@
 	if cfg.Removal <= 0 {
 		cfg.Removal = DefaultRemoval
 	}
-	cfg.Silence = max(cfg.Silence, silenceBeats*cfg.Heartbeat)
+	cfg.Silence = max(cfg.Silence, minSilenceHeartbeats*cfg.Heartbeat)
 	m.cfg = cfg
 }
 
-// SetSelf sets what heartbeats tell. A new state is told to all peers at once.
+// SetSelf sets the status that heartbeats carry. A new state is sent to all peers at once.
 func (m *Membership) SetSelf(now time.Time, self Self) {
-	m.touch(now)
+	m.detectPause(now)
 	if self.State != m.self.State {
 		for _, p := range m.peers {
 			p.due = now
 		}
-		m.dirty = true
+		m.liveStale = true
 	}
 	m.self = self
 }
 
-// Up says that a link to a peer stands and that the peer named itself in the hello.
+// Up records that a link to a peer is open and that the peer identified itself in the
+// handshake.
 func (m *Membership) Up(now time.Time, member message.Member) {
-	m.touch(now)
+	m.detectPause(now)
 	if member.Incarnation == m.member.Incarnation || member.Name == m.member.Name {
 		return
 	}
-	// A replaced process that was only paused may still open links. Its name
-	// belongs to its successor; were it taken back, both would swap for ever.
-	if _, replaced := m.former[member.Incarnation]; replaced {
+	// A replaced process that was only paused may still open links. Its name belongs to its
+	// successor: if it were accepted, the two would replace each other endlessly.
+	if _, replaced := m.replaced[member.Incarnation]; replaced {
 		return
 	}
 	p := m.byName[member.Name]
@@ -180,57 +182,57 @@
 		p = m.add(member.Name)
 	}
 	p.Member = member
-	m.dirty = true
-	m.byInc[member.Incarnation] = p
-	p.linked, p.gone = true, false
-	p.known = now
-	p.heard = now
+	m.liveStale = true
+	m.byIncarnation[member.Incarnation] = p
+	p.linked, p.terminated = true, false
+	p.since = now
+	p.lastContact = now
 	p.due = now
 }
 
-// Down says that a link broke. Refused: the address refuses connections or
-// answers as another incarnation, so that process is proven dead.
+// Down records that a link broke. refused: the address refuses connections or answers as
+// another incarnation, which proves that the process has terminated.
 func (m *Membership) Down(now time.Time, incarnation ident.Incarnation, refused bool) {
-	m.touch(now)
-	p := m.byInc[incarnation]
+	m.detectPause(now)
+	p := m.byIncarnation[incarnation]
 	if p == nil {
 		return
 	}
 	p.linked = false
 	if refused {
-		p.gone = true
-		p.forgetBeats()
+		p.terminated = true
+		p.forgetHeartbeats()
 	}
 }
 
-// Beat takes a heartbeat of a peer. One that is not newer than the last is
-// ignored, so that a late one does not bring a silent peer back.
+// Beat processes a heartbeat of a peer. A heartbeat that is not newer than the last one is
+// ignored, so that a late one does not make an unresponsive peer live.
 func (m *Membership) Beat(now time.Time, from ident.Incarnation, beat message.Heartbeat) {
-	m.touch(now)
-	p := m.byInc[from]
-	if p == nil || beat.Seq <= p.beat.Seq {
+	m.detectPause(now)
+	p := m.byIncarnation[from]
+	if p == nil || beat.Seq <= p.lastHeartbeat.Seq {
 		return
 	}
 	if beat.Echo <= p.sent && beat.Echo > p.echoed {
 		p.echoed = beat.Echo
 	}
 	if len(beat.Digests) == 0 {
-		beat.Digests = p.beat.Digests
+		beat.Digests = p.lastHeartbeat.Digests
 	} else {
-		p.digested = now
+		p.digestsAt = now
 	}
-	p.beat = beat
-	p.heard = now
-	p.gone = beat.State == message.Stopped
+	p.lastHeartbeat = beat
+	p.lastContact = now
+	p.terminated = beat.State == message.Stopped
 }
 
-// touch notices that the process stood still: the core is called at least every
-// 20 ms. What was heard before a pause is stale, and what waited in the rings
-// meanwhile looks fresh but is not; echoes of heartbeats sent before the pause
-// are too old to make anyone live, so only fresh exchanges do.
-func (m *Membership) touch(now time.Time) {
-	gap := now.Sub(m.last)
-	m.last = now
+// detectPause detects that this process was paused: the core is called at least every 20 ms.
+// What was received before a pause is outdated, and what was queued in the rings during it
+// looks current but is not. Echoes of heartbeats sent before the pause are too old to make
+// any peer live, so only new exchanges do.
+func (m *Membership) detectPause(now time.Time) {
+	gap := now.Sub(m.lastCall)
+	m.lastCall = now
 	if gap <= m.Silence() {
 		return
 	}
@@ -238,15 +240,16 @@
 	for _, p := range m.peers {
 		p.due = now
 	}
-	m.live, m.dirty = nil, true
+	m.live, m.liveStale = nil, true
 }
 
-// Interval is the heartbeat's interval at the present number of members.
+// Interval returns the heartbeat interval at the current number of members.
 func (m *Membership) Interval() time.Duration {
 	return m.cfg.Heartbeat * time.Duration(m.scale())
 }
 
-// Silence is the silence limit at the present number of members; a drain waits it out.
+// Silence returns the failure-detection timeout at the current number of members; a drain
+// waits for it to pass.
 func (m *Membership) Silence() time.Duration {
 	return m.cfg.Silence * time.Duration(m.scale())
 }
@@ -271,13 +274,13 @@
 	at := sort.Search(len(m.peers), func(i int) bool { return m.peers[i].Name >= p.Name })
 	m.peers = append(m.peers[:at], m.peers[at+1:]...)
 	delete(m.byName, p.Name)
-	delete(m.byInc, p.Incarnation)
-	m.dirty = true
+	delete(m.byIncarnation, p.Incarnation)
+	m.liveStale = true
 }
 
 func (m *Membership) replace(now time.Time, p *peer) {
 	m.drop(p)
-	m.former[p.Incarnation] = now
+	m.replaced[p.Incarnation] = now
 	if p.live {
 		m.changes = append(m.changes, Change{Kind: MemberLost, Member: p.Member})
 	}
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -34,21 +34,21 @@
 	}
 }
 
-// group joins several entries' memberships without a network. cut holds pairs
-// "from>to" whose heartbeats are lost; asleep entries do nothing.
+// group connects the memberships of several entries without a network. partitioned holds
+// pairs "from>to" whose heartbeats are lost; paused entries do nothing.
 type group struct {
-	now     time.Time
-	names   []ident.Incarnation
-	all     map[ident.Incarnation]*membership.Membership
-	cut     map[string]bool
-	asleep  map[ident.Incarnation]bool
-	changes map[ident.Incarnation][]membership.Change
+	now         time.Time
+	names       []ident.Incarnation
+	all         map[ident.Incarnation]*membership.Membership
+	partitioned map[string]bool
+	paused      map[ident.Incarnation]bool
+	changes     map[ident.Incarnation][]membership.Change
 }
 
 func newGroup(n int) *group {
 	g := &group{
-		now: start, all: map[ident.Incarnation]*membership.Membership{}, cut: map[string]bool{},
-		asleep: map[ident.Incarnation]bool{}, changes: map[ident.Incarnation][]membership.Change{},
+		now: start, all: map[ident.Incarnation]*membership.Membership{}, partitioned: map[string]bool{},
+		paused: map[ident.Incarnation]bool{}, changes: map[ident.Incarnation][]membership.Change{},
 	}
 	for i := range n {
 		g.join(member(i, 1))
@@ -78,12 +78,12 @@
 	for end := g.now.Add(d); g.now.Before(end); {
 		g.now = g.now.Add(step)
 		for _, from := range g.names {
-			if g.asleep[from] {
+			if g.paused[from] {
 				continue
 			}
 			g.changes[from] = append(g.changes[from], g.all[from].Tick(g.now)...)
 			for _, to := range g.all[from].Beats(g.now) {
-				if peer := g.all[to.Peer]; peer != nil && !g.asleep[to.Peer] && !g.cut[string(from+">"+to.Peer)] {
+				if peer := g.all[to.Peer]; peer != nil && !g.paused[to.Peer] && !g.partitioned[string(from+">"+to.Peer)] {
 					peer.Beat(g.now, from, to.Beat)
 				}
 			}
@@ -108,7 +108,7 @@
 }
 
 var _ = Describe("Membership", func() {
-	It("makes all live that exchange heartbeats, and none before", func() {
+	It("makes members live once they exchange heartbeats", func() {
 		g := newGroup(6)
 		Expect(g.all[g.names[0]].Quorum(start)).To(BeFalse())
 		g.run(time.Second)
@@ -117,57 +117,58 @@
 			Expect(g.all[g.names[i]].Quorum(g.now)).To(BeTrue())
 		}
 		g.run(10 * time.Second)
-		Expect(kinds(g.changes[g.names[0]])).To(HaveLen(5), "no member was lost while all was well")
+		Expect(kinds(g.changes[g.names[0]])).To(HaveLen(5), "no member is lost without a fault")
 	})
 
-	// The link from 0 to 1 loses all in one direction only. Entry 1 hears nothing;
-	// entry 0 hears 1 well, but its heartbeats are echoed no more. Both must drop
-	// the other within the silence limit, else 0 would send offers into the void.
-	It("sees a link cut one way at both ends", func() {
+	// The link from 0 to 1 loses everything in one direction. Entry 1 receives nothing from
+	// 0; entry 0 receives the heartbeats of 1, but its own are no longer echoed. Both must
+	// drop the other within the failure-detection timeout, otherwise 0 would send offers
+	// that are lost.
+	It("detects a link that fails in one direction at both ends", func() {
 		g := newGroup(3)
 		g.run(time.Second)
-		g.cut[string(g.names[0]+">"+g.names[1])] = true
+		g.partitioned[string(g.names[0]+">"+g.names[1])] = true
 		g.run(silence + 2*heartbeat)
 		Expect(g.live(0)).To(Equal([]int{0, 2}))
 		Expect(g.live(1)).To(Equal([]int{1, 2}))
 		Expect(g.live(2)).To(Equal([]int{0, 1, 2}))
-		clear(g.cut)
+		clear(g.partitioned)
 		g.run(silence)
 		Expect(g.live(0)).To(Equal([]int{0, 1, 2}))
 	})
 
-	// An entry is frozen far beyond the silence limit and wakes. The others have
-	// dropped it. It must learn that it was paused before it acts, and until it has
-	// exchanged fresh heartbeats it must not take itself for a scheduler with quorum,
-	// even if heartbeats that waited in its rings arrive first.
-	It("re-validates everything after a pause", func() {
+	// An entry is paused for much longer than the failure-detection timeout, and the others
+	// have dropped it. After it resumes it must detect the pause before it acts. Until it
+	// has exchanged new heartbeats it must not consider itself a scheduler with quorum, even
+	// if heartbeats that were queued in its rings arrive first.
+	It("requires new heartbeats after a pause", func() {
 		g := newGroup(3)
 		g.run(time.Second)
-		sleeper := g.names[1]
-		waited := g.all[g.names[0]].Beats(g.now.Add(heartbeat))
-		g.asleep[sleeper] = true
+		pausedEntry := g.names[1]
+		queued := g.all[g.names[0]].Beats(g.now.Add(heartbeat))
+		g.paused[pausedEntry] = true
 		g.run(5 * time.Second)
 		Expect(g.live(0)).To(Equal([]int{0, 2}))
-		for _, to := range waited {
-			if to.Peer == sleeper {
-				g.all[sleeper].Beat(g.now, g.names[0], to.Beat)
+		for _, to := range queued {
+			if to.Peer == pausedEntry {
+				g.all[pausedEntry].Beat(g.now, g.names[0], to.Beat)
 			}
 		}
-		Expect(g.all[sleeper].Live()).To(BeEmpty())
-		Expect(g.all[sleeper].Quorum(g.now)).To(BeFalse())
-		Expect(g.all[sleeper].Entries(g.now, "zone-1")).To(BeEmpty())
-		woke := g.all[sleeper].Tick(g.now)
-		Expect(kinds(woke)).To(Equal([]membership.ChangeKind{membership.Paused, membership.MemberLost, membership.MemberLost}))
-		Expect(woke[0].Gap).To(BeNumerically(">=", 5*time.Second-step))
-		Expect(g.all[sleeper].Quorum(g.now)).To(BeFalse())
-		g.asleep[sleeper] = false
+		Expect(g.all[pausedEntry].Live()).To(BeEmpty())
+		Expect(g.all[pausedEntry].Quorum(g.now)).To(BeFalse())
+		Expect(g.all[pausedEntry].Entries(g.now, "zone-1")).To(BeEmpty())
+		resumed := g.all[pausedEntry].Tick(g.now)
+		Expect(kinds(resumed)).To(Equal([]membership.ChangeKind{membership.Paused, membership.MemberLost, membership.MemberLost}))
+		Expect(resumed[0].Gap).To(BeNumerically(">=", 5*time.Second-step))
+		Expect(g.all[pausedEntry].Quorum(g.now)).To(BeFalse())
+		g.paused[pausedEntry] = false
 		g.run(time.Second)
 		Expect(g.live(1)).To(Equal([]int{0, 1, 2}))
 	})
 
-	// An entry is replaced under its name with nothing kept, and the former
-	// process, only frozen, wakes and opens its links again. The name belongs to
-	// the new one; the former must never be live again nor count.
+	// An entry is replaced under its name without its state. The previous process was only
+	// paused, resumes and opens its links again. The name belongs to the new process; the
+	// previous one must never be live again nor count.
 	It("keeps a replaced incarnation out", func() {
 		g := newGroup(3)
 		g.run(time.Second)
@@ -183,9 +184,9 @@
 		Expect(views[1].Member.Incarnation).To(Equal(member(2, 2).Incarnation))
 	})
 
-	// The list lags by 30 s: it still names one that was replaced long ago and
-	// does not yet name one that serves. It may remove only who is silent.
-	It("lets a lagging list seed and prune only", func() {
+	// The list lags by 30 s: it still has an entry that was replaced long ago, and does not
+	// have one yet that is serving. It may remove only entries that are unresponsive.
+	It("only adds and prunes names by a lagging list", func() {
 		g := newGroup(3)
 		g.run(time.Second)
 		m := g.all[g.names[0]]
@@ -193,51 +194,51 @@
 		m.List(g.now, []membership.Instance{row(0), row(1), row(7)})
 		Expect(m.Wanted()).To(Equal([]membership.Instance{row(7)}))
 		g.run(time.Second)
-		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "2 is heard and 7 is not")
+		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "2 sends heartbeats and 7 does not")
 		Expect(m.Members(g.now)).To(HaveLen(3))
 		m.Down(g.now, member(1, 1).Incarnation, false)
 		m.List(g.now, []membership.Instance{row(0)})
 		m.Tick(g.now)
-		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "1 was heard just now")
-		Expect(m.Members(g.now)).To(HaveLen(2), "7 went")
+		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "1 has just sent a heartbeat")
+		Expect(m.Members(g.now)).To(HaveLen(2), "7 was removed")
 	})
 
-	DescribeTable("quorum of five known besides this one",
-		func(heard int, lose func(m *membership.Membership, now time.Time), want bool) {
+	DescribeTable("quorum with five known peers",
+		func(connected int, lose func(m *membership.Membership, now time.Time), want bool) {
 			g := newGroup(6)
-			for i := heard + 1; i < 6; i++ {
-				g.asleep[g.names[i]] = true
+			for i := connected + 1; i < 6; i++ {
+				g.paused[g.names[i]] = true
 			}
 			g.run(2 * time.Second)
 			m := g.all[g.names[0]]
 			lose(m, g.now)
 			Expect(m.Quorum(g.now)).To(Equal(want))
 		},
-		Entry("hears two", 2, func(*membership.Membership, time.Time) {}, false),
-		Entry("hears three", 3, func(*membership.Membership, time.Time) {}, true),
-		Entry("hears two, one refuses connections", 2, func(m *membership.Membership, now time.Time) {
+		Entry("two connected", 2, func(*membership.Membership, time.Time) {}, false),
+		Entry("three connected", 3, func(*membership.Membership, time.Time) {}, true),
+		Entry("two connected, one refuses connections", 2, func(m *membership.Membership, now time.Time) {
 			m.Down(now, member(5, 1).Incarnation, true)
 		}, true),
-		Entry("hears two, one link merely broke", 2, func(m *membership.Membership, now time.Time) {
+		Entry("two connected, one link broke", 2, func(m *membership.Membership, now time.Time) {
 			m.Down(now, member(5, 1).Incarnation, false)
 		}, false),
-		Entry("hears two, one went from the list but its link stands", 2, func(m *membership.Membership, now time.Time) {
+		Entry("two connected, one removed from the list with its link open", 2, func(m *membership.Membership, now time.Time) {
 			m.List(now, []membership.Instance{{Name: member(5, 1).Name}})
 			m.List(now, nil)
 		}, false),
-		Entry("hears two, one stopped", 2, func(m *membership.Membership, now time.Time) {
+		Entry("two connected, one stopped", 2, func(m *membership.Membership, now time.Time) {
 			m.Beat(now, member(5, 1).Incarnation, message.Heartbeat{Seq: 1 << 40, State: message.Stopped})
 		}, true),
-		Entry("hears two, one pruned by the list", 2, func(m *membership.Membership, now time.Time) {
+		Entry("two connected, one pruned by the list", 2, func(m *membership.Membership, now time.Time) {
 			m.Down(now, member(5, 1).Incarnation, false)
 			m.List(now, []membership.Instance{{Name: member(5, 1).Name}})
 			m.List(now, nil)
 		}, true),
 	)
 
-	It("stops counting who is silent for the removal time, even if still listed", func() {
+	It("stops counting members that are unresponsive for the removal time, even if still listed", func() {
 		g := newGroup(3)
-		g.asleep[g.names[1]], g.asleep[g.names[2]] = true, true
+		g.paused[g.names[1]], g.paused[g.names[2]] = true, true
 		m := g.all[g.names[0]]
 		rows := []membership.Instance{{Name: member(1, 1).Name}, {Name: member(2, 1).Name}}
 		m.List(start, rows)
@@ -250,8 +251,8 @@
 		Expect(m.Quorum(later)).To(BeTrue())
 	})
 
-	// Heartbeats of one peer are delivered out of order: the one that said it
-	// drains comes before an older one that said it is ready. It must stay out.
+	// Heartbeats of one peer arrive out of order: one that reports draining arrives before
+	// an older one that reports ready. The peer must not become live.
 	It("ignores a heartbeat that is not newer than the last", func() {
 		g := newGroup(2)
 		g.run(time.Second)
@@ -262,7 +263,7 @@
 		Expect(g.live(0)).To(Equal([]int{0}))
 	})
 
-	It("names no draining entry, the caller's zone first, and spreads callers", func() {
+	It("returns entries of the caller's zone first and no draining ones, and spreads callers", func() {
 		g := newGroup(6)
 		g.run(time.Second)
 		g.all[g.names[1]].SetSelf(g.now, membership.Self{State: message.Draining})
@@ -281,7 +282,7 @@
 		Expect(own.Entries(g.now, "zone-1")).NotTo(ContainElement(member(1, 1)))
 	})
 
-	It("sends fewer heartbeats as members grow, and digests to far zones seldom", func() {
+	It("sends heartbeats less often with more members, and digests rarely to other zones", func() {
 		m := membership.New(member(0, 1), config(), start)
 		m.SetSelf(start, membership.Self{State: message.Ready, Digests: []message.Digest{{Target: "t"}}})
 		Expect(m.Interval()).To(Equal(heartbeat))
@@ -309,9 +310,9 @@
 	})
 })
 
-// BenchmarkSecond is one second of an entry's membership: 50 ticks, all heartbeats
-// sent and received. Reported besides: heartbeats and CBOR bytes sent a second
-// (no digests; 5 targets scheduled).
+// BenchmarkSecond runs one second of an entry's membership: 50 ticks, all heartbeats sent
+// and received. It also reports the heartbeats and CBOR bytes sent per second (no digests; 5
+// targets scheduled).
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48, 96, 410} {
 		for _, digests := range []int{0, 5} {
--- a/internal/core/membership/peer.go
+++ b/internal/core/membership/peer.go
@@ -6,38 +6,38 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// peer is one name: a member that was met, or a row of the list that was not.
-// Its Incarnation is empty until a link stood.
+// peer is one name: a member that was connected, or a row of the list that was not. Its
+// Incarnation is empty until a link has been open.
 type peer struct {
 	message.Member
-	// known is when it was met or first listed.
-	known time.Time
-	// linked: a link stands. gone: proven dead.
-	linked, gone bool
-	// listed: in the platform's last list; shown: in any list so far.
-	listed, shown bool
-	// heard is when the last new heartbeat or hello came.
-	heard time.Time
-	// beat is the last heartbeat, with the last digests that came.
-	beat     message.Heartbeat
-	digested time.Time
-	// sent is the Seq of our last heartbeat to it, echoed of the last that it
-	// says it received. A Seq is a time: see Membership.seq.
+	// since is when it was first connected or listed.
+	since time.Time
+	// linked: a link is open. terminated: its process is proven to have ended.
+	linked, terminated bool
+	// listed: in the platform's last list. everListed: in any list so far.
+	listed, everListed bool
+	// lastContact is when the last new heartbeat or handshake arrived.
+	lastContact time.Time
+	// lastHeartbeat is the last heartbeat received, with the last digests received.
+	lastHeartbeat message.Heartbeat
+	digestsAt     time.Time
+	// sent is the Seq of the last heartbeat sent to the peer, echoed that of the last one
+	// that the peer reports as received. A Seq is a time: see Membership.seq.
 	sent, echoed uint64
-	beats        int
+	heartbeats   int
 	due          time.Time
 	// live and removed are as of the last Tick.
 	live, removed bool
 }
 
-// forgetBeats lets only a new exchange make the peer live again.
-func (p *peer) forgetBeats() {
-	p.heard = time.Time{}
+// forgetHeartbeats makes the peer need a new exchange of heartbeats to be live again.
+func (p *peer) forgetHeartbeats() {
+	p.lastContact = time.Time{}
 	p.echoed = 0
 }
 
-// seq numbers heartbeats by the milliseconds since the start, so that an echo
-// tells when the heartbeat was sent without a list of those under way.
+// seq numbers heartbeats by the milliseconds since the start, so that an echo shows when the
+// heartbeat was sent without a list of outstanding ones.
 func (m *Membership) seq(now time.Time, after uint64) uint64 {
 	return max(after+1, uint64(now.Sub(m.started).Milliseconds()))
 }
@@ -46,23 +46,24 @@
 	return m.started.Add(time.Duration(seq) * time.Millisecond)
 }
 
-// hears: a heartbeat that we sent within the silence limit reached the peer and
-// its echo came back, so both directions work.
-func (m *Membership) hears(now time.Time, p *peer) bool {
-	if p.gone || p.echoed == 0 {
+// echoes reports whether the peer echoed a heartbeat sent within the failure-detection
+// timeout, which shows that both directions of the link work.
+func (m *Membership) echoes(now time.Time, p *peer) bool {
+	if p.terminated || p.echoed == 0 {
 		return false
 	}
 	return now.Sub(m.sentAt(p.echoed)) <= m.Silence()
 }
 
-// counts: the peer belongs to the members of which a quorum hears more than half.
+// counts reports whether the peer counts for the quorum, which requires an exchange of
+// heartbeats with more than half of the members that count.
 func (m *Membership) counts(now time.Time, p *peer) bool {
-	if p.gone {
+	if p.terminated {
 		return false
 	}
-	last := p.known
-	if p.heard.After(last) {
-		last = p.heard
+	last := p.since
+	if p.lastContact.After(last) {
+		last = p.lastContact
 	}
 	return now.Sub(last) <= m.cfg.Removal
 }
--- a/internal/core/membership/views.go
+++ b/internal/core/membership/views.go
@@ -6,41 +6,42 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// View is what operators see of a member.
+// View is the status of a member for operators.
 type View struct {
 	Member        message.Member
 	State         message.State
 	ConfigVersion int64
 	InFlight      int
-	// Linked: a link stands. Live: it may schedule. Counts: it counts for the quorum.
+	// Linked: a link is open. Live: it may schedule targets. Counts: it counts for the
+	// quorum.
 	Linked, Live, Counts bool
-	// Silent is how long nothing was heard, Unechoed the age of our last
-	// heartbeat that it received; negative: never.
+	// Silent is the time since the last contact, Unechoed the age of the last of our
+	// heartbeats that it received; negative: never.
 	Silent, Unechoed time.Duration
-	// Digests are the last that it sent, DigestAge how long ago.
+	// Digests are the last ones received from it, DigestAge is how long ago.
 	Digests   []message.Digest
 	DigestAge time.Duration
 }
 
-// Members lists all known members but this one, by name.
+// Members returns all known members except this one, by name.
 func (m *Membership) Members(now time.Time) []View {
 	views := make([]View, 0, len(m.peers))
 	for _, p := range m.peers {
 		v := View{
 			Member:        p.Member,
-			State:         p.beat.State,
-			ConfigVersion: p.beat.ConfigVersion,
-			InFlight:      p.beat.InFlight,
+			State:         p.lastHeartbeat.State,
+			ConfigVersion: p.lastHeartbeat.ConfigVersion,
+			InFlight:      p.lastHeartbeat.InFlight,
 			Linked:        p.linked,
 			Live:          p.live,
 			Counts:        m.counts(now, p),
 			Silent:        -1,
 			Unechoed:      -1,
-			Digests:       p.beat.Digests,
-			DigestAge:     now.Sub(p.digested),
+			Digests:       p.lastHeartbeat.Digests,
+			DigestAge:     now.Sub(p.digestsAt),
 		}
-		if !p.heard.IsZero() {
-			v.Silent = now.Sub(p.heard)
+		if !p.lastContact.IsZero() {
+			v.Silent = now.Sub(p.lastContact)
 		}
 		if p.echoed > 0 {
 			v.Unechoed = now.Sub(m.sentAt(p.echoed))
@@ -50,12 +51,12 @@
 	return views
 }
 
-// Entries answers "which entry": the live members of the caller's zone first,
-// then those of other zones, each group rotated by one more place on each call,
-// so that callers that take the first are spread. All of them are ready and not
-// draining; the list is empty after a pause until the next Tick.
+// Entries returns the entries that a caller may use: the live members of the caller's zone
+// first, then those of other zones. Each group is rotated by one position per call, so that
+// callers that take the first one are spread. All of them are ready and not draining; the
+// list is empty after a pause until the next Tick.
 func (m *Membership) Entries(now time.Time, zone string) []message.Member {
-	m.touch(now)
+	m.detectPause(now)
 	var near, far []message.Member
 	for _, member := range m.live {
 		if member.Incarnation == m.member.Incarnation && m.self.State != message.Ready {
@@ -67,8 +68,8 @@
 			far = append(far, member)
 		}
 	}
-	m.turn++
-	return append(rotate(near, m.turn), rotate(far, m.turn)...)
+	m.rotation++
+	return append(rotate(near, m.rotation), rotate(far, m.rotation)...)
 }
 
 func rotate(members []message.Member, by int) []message.Member {
