--- a/internal/core/peerset/cells.go
+++ b/internal/core/peerset/cells.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// relays is the number of entries of a cell that pass on its word: the first of those
-	// that are heard, so that when one is lost the next takes over within the silence limit
-	// of the cell, long before the others take the whole cell for silent.
-	relays = 1
-	// directFor is how long an entry counts as heard without a relay: eight heartbeats.
-	directFor = 2 * time.Second
+	// relaysPerCell is the number of entries of a cell that relay its status: the first ones
+	// that are live. When one is lost, the next takes over within the failure-detection
+	// timeout of the cell, long before the other cells consider the whole cell unresponsive.
+	relaysPerCell = 1
+	// directTimeout is the time for which a contact without a relay is valid: eight
+	// heartbeats.
+	directTimeout = 2 * time.Second
 )
 
-// Cells is how this entry sees the cells at a moment.
+// Cells is the division into cells as seen by this entry.
 type Cells struct {
-	// Own is this entry's cell, Count their number, Entries that of all that serve, this
-	// one included.
+	// Own is this entry's cell, Count the number of cells, Entries the number of entries
+	// that serve, including this one.
 	Own, Count, Entries int
-	// Mates are the other entries of the cell that serve, Audience all others that live
-	// and would be in the cell if they served.
+	// Mates are the other entries of the cell that serve. Audience adds the live entries
+	// that would be in the cell if they served.
 	Mates, Audience []Entry
-	// Relays: this entry is one of those that pass on the word of the cell.
+	// Relays reports whether this entry relays the status of its cell.
 	Relays bool
-	// Others are the entries that serve in the other cells, by cell, if Relays.
+	// Others are the serving entries of the other cells, by cell, if Relays.
 	Others [][]Entry
 }
 
-// Cells divides the live entries. ready: this entry serves.
+// Cells divides the live entries into cells. ready reports whether this entry serves.
 func (s *Set) Cells(now time.Time, ready bool) Cells {
 	serving := make([]*Member, 0, len(s.order))
 	for _, m := range s.order {
@@ -41,7 +42,7 @@
 	}
 	c := Cells{Entries: len(serving) + 1}
 	c.Count = dispatch.Cells(c.Entries)
-	own := placeAmong(serving, dispatch.Place(s.self.Zone, s.self.Name))
+	own := positionAmong(serving, dispatch.Place(s.self.Zone, s.self.Name))
 	c.Own = dispatch.CellOf(own, c.Entries)
 	ahead := 0
 	for i, m := range serving {
@@ -56,17 +57,18 @@
 	}
 	c.Audience = slices.Clone(c.Mates)
 	for _, m := range s.order {
-		if m.State != Ready && s.live(now, m) && dispatch.CellOf(placeAmong(serving, m.place), c.Entries) == c.Own {
+		if m.State != Ready && s.live(now, m) && dispatch.CellOf(positionAmong(serving, m.position), c.Entries) == c.Own {
 			c.Audience = append(c.Audience, m.Entry)
 		}
 	}
-	if c.Relays = ready && c.Count > 1 && ahead < relays; c.Relays {
+	if c.Relays = ready && c.Count > 1 && ahead < relaysPerCell; c.Relays {
 		c.Others = others(serving, own, c)
 	}
 	return c
 }
 
-// cellAt is the cell of the i-th of the others, where this entry comes after own of them.
+// cellAt returns the cell of the i-th of the other entries, of which own come before this
+// entry.
 func cellAt(i, own, entries int) int {
 	if i >= own {
 		i++
@@ -84,26 +86,25 @@
 	return others
 }
 
-// placeAmong is the number of entries, in the order of their places, that come before
-// a place.
-func placeAmong(sorted []*Member, place uint64) int {
-	i, _ := slices.BinarySearchFunc(sorted, place, func(m *Member, place uint64) int { return cmp.Compare(m.place, place) })
+// positionAmong returns the number of sorted entries that come before a position.
+func positionAmong(sorted []*Member, position uint64) int {
+	i, _ := slices.BinarySearchFunc(sorted, position, func(m *Member, place uint64) int { return cmp.Compare(m.position, place) })
 	return i
 }
 
-// Relayed returns the entries whose word this one passes on: those that it has heard
-// itself of late, whatever the cell in which they count themselves.
+// Relayed returns the entries whose status this one relays: those with recent direct
+// contact, whatever cell they consider themselves in.
 func (s *Set) Relayed(now time.Time) []Member {
-	return s.filter(func(m *Member) bool { return now.Sub(m.Direct) < directFor })
+	return s.filter(func(m *Member) bool { return now.Sub(m.Direct) < directTimeout })
 }
 
-// Probed is the silent entry whose turn it is to be told that this one lives, as turns go
-// up; false: none is silent. Heartbeats and digests go to entries that are heard. Without
-// probes two parts of a fleet that were cut off from each other would never meet again.
+// Probed returns the unresponsive entry to be probed next, as turn increases; false: none is
+// unresponsive. Heartbeats and digests go to live entries only. Without probes, two parts of
+// a fleet would never reconnect after a network partition.
 func (s *Set) Probed(now time.Time, turn int) (Entry, bool) {
-	silent := s.filter(func(m *Member) bool { return !s.live(now, m) })
-	if len(silent) == 0 {
+	unresponsive := s.filter(func(m *Member) bool { return !s.live(now, m) })
+	if len(unresponsive) == 0 {
 		return Entry{}, false
 	}
-	return silent[turn%len(silent)].Entry, true
+	return unresponsive[turn%len(unresponsive)].Entry, true
 }
--- a/internal/core/peerset/cells_test.go
+++ b/internal/core/peerset/cells_test.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	beat   = 250 * time.Millisecond
-	digest = 500 * time.Millisecond
+	heartbeatInterval = 250 * time.Millisecond
+	digestInterval    = 500 * time.Millisecond
 )
 
-// fleet plays entries that tell each other by heartbeats in their cells and digests between
-// them, with datagrams that are lost, late or cut off.
+// fleet simulates entries that exchange heartbeats within their cells and digests between
+// them. Datagrams may be lost, late, or blocked by a network partition.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Time
 	entries []*node
 	byName  map[string]*node
-	// lost is the part of datagrams that never comes.
-	lost float64
-	// cut: no datagram goes between entries of different sides.
-	cut bool
-	// datagrams counts those sent.
+	// lossRate is the share of datagrams that are lost.
+	lossRate float64
+	// partitioned: no datagram passes between entries of different sides.
+	partitioned bool
+	// datagrams is the number of datagrams sent.
 	datagrams int
 }
 
 type node struct {
-	set         *peerset.Set
-	entry       peerset.Entry
-	started     time.Time
-	sequence    uint64
-	phase, turn int
-	down, far   bool
+	set           *peerset.Set
+	entry         peerset.Entry
+	started       time.Time
+	sequence      uint64
+	ticks, turn   int
+	down, farSide bool
 }
 
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: now, byName: make(map[string]*node)}
 	for i := range n {
-		e := &node{entry: entry(fmt.Sprint("entry-", i), 1), phase: i}
+		e := &node{entry: entry(fmt.Sprint("entry-", i), 1), ticks: i}
 		f.entries = append(f.entries, e)
 		f.byName[e.entry.Name] = e
 	}
@@ -57,7 +57,7 @@
 	return f
 }
 
-// start begins an entry's process, which knows the register.
+// start starts an entry's process, which has read the register.
 func (f *fleet) start(e *node) {
 	e.set = peerset.New(config, e.entry)
 	e.started, e.sequence, e.down = f.now, 0, false
@@ -72,62 +72,62 @@
 	f.announce(e)
 }
 
-func (f *fleet) word(e *node) peerset.Word {
+func (f *fleet) status(e *node) peerset.Word {
 	e.sequence++
 	return peerset.Word{Entry: e.entry, State: peerset.Ready, Sequence: e.sequence, Age: f.now.Sub(e.started)}
 }
 
-// send gives a message to another entry unless it is lost.
-func (f *fleet) send(from *node, name string, take func(to *node)) {
+// send delivers a message to another entry unless it is lost.
+func (f *fleet) send(from *node, name string, receive func(to *node)) {
 	f.datagrams++
 	to := f.byName[name]
-	if to.down || f.cut && from.far != to.far || f.random.Float64() < f.lost {
+	if to.down || f.partitioned && from.farSide != to.farSide || f.random.Float64() < f.lossRate {
 		return
 	}
-	take(to)
+	receive(to)
 }
 
 func (f *fleet) announce(e *node) {
-	word := f.word(e)
+	status := f.status(e)
 	for _, other := range f.entries {
-		f.send(e, other.entry.Name, func(to *node) { to.set.Heard(f.now, f.now, word) })
+		f.send(e, other.entry.Name, func(to *node) { to.set.Heard(f.now, f.now, status) })
 	}
 }
 
 func (f *fleet) heartbeat(e *node, cells peerset.Cells) {
-	word := f.word(e)
+	status := f.status(e)
 	for _, m := range cells.Audience {
-		f.send(e, m.Name, func(to *node) { to.set.Heard(f.now, f.now, word) })
+		f.send(e, m.Name, func(to *node) { to.set.Heard(f.now, f.now, status) })
 	}
 }
 
-// probe tells a silent entry that this one lives, and is answered.
+// probe sends the status of an entry to an unresponsive one, which replies.
 func (f *fleet) probe(e *node) {
-	silent, found := e.set.Probed(f.now, e.phase)
+	unresponsive, found := e.set.Probed(f.now, e.ticks)
 	if !found {
 		return
 	}
-	word := f.word(e)
-	f.send(e, silent.Name, func(to *node) {
-		if !to.set.Heard(f.now, f.now, word).Returned {
+	status := f.status(e)
+	f.send(e, unresponsive.Name, func(to *node) {
+		if !to.set.Heard(f.now, f.now, status).Returned {
 			return
 		}
-		back := f.word(to)
-		f.send(to, e.entry.Name, func(*node) { e.set.Heard(f.now, f.now, back) })
+		reply := f.status(to)
+		f.send(to, e.entry.Name, func(*node) { e.set.Heard(f.now, f.now, reply) })
 	})
 }
 
 func (f *fleet) digest(e *node, cells peerset.Cells) {
-	words := []peerset.Word{f.word(e)}
+	statuses := []peerset.Word{f.status(e)}
 	at := []time.Time{f.now}
 	for _, m := range e.set.Relayed(f.now) {
-		words = append(words, peerset.Word{Entry: m.Entry, State: m.State, Sequence: m.Sequence, Age: m.Heard.Sub(m.Started)})
+		statuses = append(statuses, peerset.Word{Entry: m.Entry, State: m.State, Sequence: m.Sequence, Age: m.Heard.Sub(m.Started)})
 		at = append(at, m.Heard)
 	}
-	take := func(to *node) {
-		for i, word := range words {
-			word.Relayed = true
-			to.set.Heard(f.now, at[i], word)
+	receive := func(to *node) {
+		for i, status := range statuses {
+			status.Relayed = true
+			to.set.Heard(f.now, at[i], status)
 		}
 	}
 	for _, cell := range cells.Others {
@@ -135,39 +135,39 @@
 			continue
 		}
 		f.send(e, cell[e.turn%len(cell)].Name, func(to *node) {
-			take(to)
+			receive(to)
 			for _, m := range to.set.Cells(f.now, true).Audience {
-				f.send(to, m.Name, take)
+				f.send(to, m.Name, receive)
 			}
 		})
 	}
 	e.turn++
 }
 
-// run lets time pass in steps of a heartbeat.
+// run advances the time in steps of a heartbeat interval.
 func (f *fleet) run(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(beat) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(heartbeatInterval) {
 		for _, e := range f.entries {
 			if e.down {
 				continue
 			}
-			e.phase++
+			e.ticks++
 			cells := e.set.Cells(f.now, true)
 			f.heartbeat(e, cells)
 			f.probe(e)
-			if cells.Relays && time.Duration(e.phase)*beat%digest == 0 {
+			if cells.Relays && time.Duration(e.ticks)*heartbeatInterval%digestInterval == 0 {
 				f.digest(e, cells)
 			}
 		}
 	}
 }
 
-// known is the least and the largest number of others that a living entry of a side
-// takes for live.
-func (f *fleet) known(far bool) (least, most int) {
+// liveCounts returns the smallest and the largest number of others that a running entry of a
+// side considers live.
+func (f *fleet) liveCounts(farSide bool) (least, most int) {
 	least = len(f.entries)
 	for _, e := range f.entries {
-		if e.down || e.far != far {
+		if e.down || e.farSide != farSide {
 			continue
 		}
 		n := len(e.set.Serving(f.now))
@@ -178,8 +178,8 @@
 
 const large = 195
 
-// All entries agree on who is in which cell: each is in one, and its mates say the same.
-func TestCellsPartTheFleet(t *testing.T) {
+// All entries agree on the cells: each entry is in one cell, and its cell peers agree.
+func TestCellsPartitionTheFleet(t *testing.T) {
 	for _, n := range []int{9, 18, 84, large} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			g := NewWithT(t)
@@ -208,7 +208,7 @@
 				}
 			}
 			if n == 9 {
-				g.Expect(relays).To(BeEmpty(), "all hear each other")
+				g.Expect(relays).To(BeEmpty(), "all exchange messages directly")
 				return
 			}
 			for _, count := range relays {
@@ -221,112 +221,114 @@
 
 // A twentieth of all datagrams is lost, on every link. Callers must still be sent to all
 // entries: a lost digest is followed by the next within half a second.
-func TestLostDatagramsSilenceNobody(t *testing.T) {
+func TestLostDatagramsMakeNoEntryUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(large, 2)
 	f.run(2 * time.Second)
-	f.lost = 0.05
+	f.lossRate = 0.05
 	for range 40 {
 		f.run(500 * time.Millisecond)
-		least, _ := f.known(false)
+		least, _ := f.liveCounts(false)
 		g.Expect(least).To(Equal(large - 1))
 	}
 }
 
-// A quarter of the entries lose power at once, relays among them. Callers are sent there
-// until all others notice, which takes the silence limit and a digest, no longer.
-func TestDeadEntriesAreNoticedThroughRelays(t *testing.T) {
+// A quarter of the entries lose power at once, among them relays. Callers are sent there
+// until all others detect it, which takes the failure-detection timeout and the interval of
+// a digest, no longer.
+func TestCrashedEntriesAreDetectedThroughRelays(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(large, 3)
 	f.run(2 * time.Second)
 	for i, e := range f.entries {
 		e.down = i%4 == 0
 	}
-	f.run(config.RelayedSilence + digest)
-	_, most := f.known(false)
+	f.run(config.RelayedSilence + digestInterval)
+	_, most := f.liveCounts(false)
 	g.Expect(most).To(Equal(large - 1 - (large+3)/4))
 }
 
-// A third of the entries is cut from the others, and comes back. Each side goes on alone,
-// and tells only those that it hears; probes of silent entries make the two meet again, and
-// digests spread it within three seconds.
-func TestPartsThatWereCutFindEachOther(t *testing.T) {
+// A third of the entries is partitioned from the others, and reconnects. Each side continues
+// on its own and sends only to its own live entries. Probes of unresponsive entries
+// reconnect the two, and digests spread their status within three seconds.
+func TestPartitionsReconnect(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(large, 4)
 	f.run(2 * time.Second)
 	for i, e := range f.entries {
-		e.far = i%3 == 0
+		e.farSide = i%3 == 0
 	}
-	f.cut = true
-	f.run(config.RelayedSilence + 3*digest)
-	near, nearMost := f.known(false)
-	g.Expect([]int{near, nearMost}).To(Equal([]int{large*2/3 - 1, large*2/3 - 1}))
-	far, farMost := f.known(true)
-	g.Expect([]int{far, farMost}).To(Equal([]int{large/3 - 1, large/3 - 1}))
-	f.cut = false
-	f.run(6 * digest)
-	least, _ := f.known(false)
+	f.partitioned = true
+	f.run(config.RelayedSilence + 3*digestInterval)
+	nearLeast, nearMost := f.liveCounts(false)
+	g.Expect([]int{nearLeast, nearMost}).To(Equal([]int{large*2/3 - 1, large*2/3 - 1}))
+	farLeast, farMost := f.liveCounts(true)
+	g.Expect([]int{farLeast, farMost}).To(Equal([]int{large/3 - 1, large/3 - 1}))
+	f.partitioned = false
+	f.run(6 * digestInterval)
+	least, _ := f.liveCounts(false)
 	g.Expect(least).To(Equal(large - 1))
-	least, _ = f.known(true)
+	least, _ = f.liveCounts(true)
 	g.Expect(least).To(Equal(large - 1))
 }
 
-// An entry restarts, and the datagram that says so is lost for most. A relay that does not
-// know passes on the word of its former process once more. Nobody may take that for a
-// third process: what an organisation has used would count anew each time.
-func TestRestartIsNotUndoneByARelay(t *testing.T) {
+// An entry restarts, and the datagram that announces it is lost for most others. A relay
+// that did not receive it passes on the status of the previous process again. No entry may
+// take that for a third process: the usage of an organisation would be counted again each
+// time.
+func TestRelayDoesNotRevertARestart(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(large, 5)
 	f.run(2 * time.Second)
 	e := f.entries[7]
-	before := e.entry
-	beforeWord := peerset.Word{Entry: before, State: peerset.Ready, Sequence: 1000, Age: 2 * time.Second, Relayed: true}
-	f.lost = 0.5
+	previous := e.entry
+	previousStatus := peerset.Word{Entry: previous, State: peerset.Ready, Sequence: 1000, Age: 2 * time.Second, Relayed: true}
+	f.lossRate = 0.5
 	f.restart(e)
-	f.lost = 0
-	f.run(2 * digest)
+	f.lossRate = 0
+	f.run(2 * digestInterval)
 	for _, other := range f.entries {
 		if other == e {
 			continue
 		}
-		news := other.set.Heard(f.now, f.now.Add(-2*digest), beforeWord)
-		g.Expect(news).To(Equal(peerset.News{Old: true}))
+		update := other.set.Heard(f.now, f.now.Add(-2*digestInterval), previousStatus)
+		g.Expect(update).To(Equal(peerset.News{Old: true}))
 	}
-	least, _ := f.known(false)
+	least, _ := f.liveCounts(false)
 	g.Expect(least).To(Equal(large - 1))
 }
 
-// A relay names an entry that is not in the register yet. Without its addresses it cannot
-// be sent to; the caller of Heard has the register read anew.
-func TestRelayedWordOfAnUnknownEntry(t *testing.T) {
+// A relay passes on the status of an entry that is not in the register yet. Without its
+// addresses no messages can be sent to it; the caller of Heard has the register read again.
+func TestRelayedStatusOfAnUnknownEntry(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
-	word := peerset.Word{Entry: peerset.Entry{Name: "new", Incarnation: 3}, State: peerset.Ready, Sequence: 1, Relayed: true}
-	g.Expect(s.Heard(now, now, word)).To(Equal(peerset.News{Unknown: true}))
+	status := peerset.Word{Entry: peerset.Entry{Name: "new", Incarnation: 3}, State: peerset.Ready, Sequence: 1, Relayed: true}
+	g.Expect(s.Heard(now, now, status)).To(Equal(peerset.News{Unknown: true}))
 	g.Expect(s.Size()).To(Equal(1))
 	s.Registered(now, entry("new", 3))
-	g.Expect(s.Heard(now, now, word).Joined).To(BeTrue())
+	g.Expect(s.Heard(now, now, status).Joined).To(BeTrue())
 	g.Expect(s.Serving(now)[0].Callers).To(Equal("new:80"))
 }
 
-// What each entry sends must grow more slowly than the fleet: with 2.3 times the entries,
-// less than 1.5 times the datagrams for each entry and second. Heartbeats from all to all
-// at the same rate would be 2.3 times as many, 776 instead of some 85.
+// The datagrams sent by each entry must grow more slowly than the fleet: with 2.3 times the
+// entries, less than 1.5 times the datagrams per entry and second. Heartbeats from all to
+// all at the same rate would be 2.3 times as many, 776 instead of about 85.
 func TestDatagramsGrowSlowlyWithTheFleet(t *testing.T) {
 	g := NewWithT(t)
-	each := func(n int) float64 {
+	datagramsPerEntry := func(n int) float64 {
 		f := newFleet(n, 6)
 		f.run(time.Second)
 		f.datagrams = 0
 		f.run(3 * time.Second)
 		return float64(f.datagrams) / 3 / float64(n)
 	}
-	at84, atLarge := each(84), each(large)
+	at84, atLarge := datagramsPerEntry(84), datagramsPerEntry(large)
 	g.Expect(at84).To(BeNumerically("<", 65))
 	g.Expect(atLarge).To(BeNumerically("<", 1.5*at84))
 }
 
-// BenchmarkCells is what each look at the cells costs.
+// BenchmarkCells measures one division into cells.
 func BenchmarkCells(b *testing.B) {
 	for _, n := range []int{6, 48, large, 410} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/peerset/peerset.go
+++ b/internal/core/peerset/peerset.go
@@ -1,11 +1,11 @@
-// Package peerset keeps what an entry knows of the other entries: who is heard,
-// where callers may be sent, and who may still be at work unheard. The register
-// of entries only says whom to talk to; being heard is what counts. Entries are divided
-// into cells: those of a cell hear each other, those of other cells are heard through
-// relays, so that what membership costs an entry does not grow with the square of the
-// fleet.
+// Package peerset tracks the other entries: which are live, to which callers may be sent,
+// and which may still be serving without contact. The register of entries only provides the
+// addresses; an entry counts as live only by the messages received from it. Entries are
+// divided into cells: the entries of a cell exchange messages directly, and those of other
+// cells are reached through relays, so that the messages for membership do not grow with the
+// square of the fleet.
 //
-// Time is an argument. A Set is not safe for concurrent use.
+// Time is passed as an argument. A Set is not safe for concurrent use.
 package peerset
 
 import (
@@ -16,15 +16,15 @@
 	"sycamoretrail/internal/core/dispatch"
 )
 
-// State is what an entry says of itself.
+// State is the state that an entry reports.
 type State uint8
 
 const (
 	// Starting: it has no configuration yet.
 	Starting State = iota
-	// Ready: it takes callers.
+	// Ready: it accepts callers.
 	Ready
-	// Draining: it finishes what it has and takes no new callers.
+	// Draining: it finishes its requests and accepts no new callers.
 	Draining
 )
 
@@ -35,20 +35,21 @@
 	Name        string
 	Incarnation uint64
 	Zone        string
-	// Callers is where callers connect, Links where the other entries send to.
+	// Callers is the address for callers, Links the address for the other entries.
 	Callers, Links string
 }
 
 // Config sets the intervals.
 type Config struct {
-	// Silence is how long an entry may be unheard and still get callers, where all
-	// entries hear each other.
+	// Silence is the failure-detection timeout where all entries exchange messages directly:
+	// an entry without contact for longer gets no callers.
 	Silence time.Duration
-	// RelayedSilence is the same where there are several cells: word of other cells comes
-	// through relays, some of which may be lost.
+	// RelayedSilence is the failure-detection timeout where there are several cells: the
+	// status of entries of other cells arrives through relays, and some of these messages
+	// may be lost.
 	RelayedSilence time.Duration
-	// Removal is how long an entry may be unheard and still count as one that may
-	// be serving: instances are replaced for good without notice.
+	// Removal is the time without contact after which an entry no longer counts as one that
+	// may be serving: instances are replaced for good without notice.
 	Removal time.Duration
 }
 
@@ -56,42 +57,45 @@
 type Member struct {
 	Entry
 	State State
-	// Heard is when its last word came, Started when it began, both on this clock.
+	// Heard is the time of the last contact, Started when it started, both by the local
+	// clock.
 	Heard, Started time.Time
-	// Blind: it cannot read the store.
+	// Blind: it is disconnected from the store.
 	Blind bool
-	// Version is the configuration that it has in force.
+	// Version is the version of the configuration in force at the entry.
 	Version int64
-	// Sequence is the number of its last message, Direct when it was last heard without
-	// a relay.
+	// Sequence is the number of its last message, Direct the time of the last contact
+	// without a relay.
 	Sequence uint64
 	Direct   time.Time
-	// place orders entries before they are divided into cells; see dispatch.Place.
-	place uint64
+	// position determines the order in which entries are divided into cells; see
+	// dispatch.Place.
+	position uint64
 }
 
-// Word is what an entry has said of itself.
+// Word is the status that an entry reports.
 type Word struct {
 	Entry
 	State State
-	// Sequence rises with each message of an incarnation.
+	// Sequence increases with each message of an incarnation.
 	Sequence uint64
-	// Age is how long the entry had been running when it said so.
+	// Age is how long the entry had been running when it sent the status.
 	Age     time.Duration
 	Blind   bool
 	Version int64
-	// Relayed: another entry has passed it on, which knows no addresses.
+	// Relayed: the status was passed on by another entry. Such a status has no addresses.
 	Relayed bool
 }
 
-// News is what a word changes.
+// News is the effect of a status.
 type News struct {
-	// Old: a later word is known, or this one is of an incarnation that has been replaced.
+	// Old: the status is outdated: a later one has been received, or its incarnation has
+	// been replaced.
 	Old bool
-	// Unknown: the entry is not known, and the word does not tell its addresses.
+	// Unknown: the entry is not known, and the status does not have its addresses.
 	Unknown bool
-	// Joined: it was not live before. Returned: it had been, until it fell silent.
-	// Replaced: it is another incarnation than was known.
+	// Joined: it was not live before. Returned: it had been live before it became
+	// unresponsive. Replaced: its incarnation is not the one known before.
 	Joined, Returned, Replaced bool
 }
 
@@ -100,16 +104,16 @@
 	config  Config
 	self    Entry
 	members map[string]*Member
-	// order holds the members by place.
+	// order holds the members by position.
 	order []*Member
 }
 
-// New makes a set that knows only this entry.
+// New returns a set without other entries.
 func New(config Config, self Entry) *Set {
 	return &Set{config: config, self: self, members: make(map[string]*Member)}
 }
 
-// Registered adds an entry that the register names. It is not live before it is heard.
+// Registered adds an entry from the register. It is not live before there is contact.
 func (s *Set) Registered(now time.Time, entry Entry) {
 	if entry.Name == s.self.Name {
 		return
@@ -117,7 +121,7 @@
 	known, found := s.members[entry.Name]
 	if !found {
 		known = s.add(entry)
-		known.Started, known.Heard = now, now.Add(-s.silence())
+		known.Started, known.Heard = now, now.Add(-s.failureTimeout())
 		return
 	}
 	if !s.live(now, known) && known.Incarnation != entry.Incarnation {
@@ -126,9 +130,9 @@
 	}
 }
 
-// add makes a member that has not been heard.
+// add adds a member without contact.
 func (s *Set) add(entry Entry) *Member {
-	m := &Member{Entry: entry, place: dispatch.Place(entry.Zone, entry.Name)}
+	m := &Member{Entry: entry, position: dispatch.Place(entry.Zone, entry.Name)}
 	s.members[entry.Name] = m
 	at, _ := slices.BinarySearchFunc(s.order, m, compareMembers)
 	s.order = slices.Insert(s.order, at, m)
@@ -137,48 +141,50 @@
 
 // compareMembers orders members as they are divided into cells.
 func compareMembers(a, b *Member) int {
-	return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.Name, b.Name))
 }
 
-// Heard takes an entry's word; at is when it was said, on this clock.
-func (s *Set) Heard(now, at time.Time, word Word) News {
-	if word.Name == s.self.Name {
+// Heard applies the status of an entry, sent at the given time by the local clock.
+func (s *Set) Heard(now, at time.Time, status Word) News {
+	if status.Name == s.self.Name {
 		return News{Old: true}
 	}
-	known, found := s.members[word.Name]
+	known, found := s.members[status.Name]
 	if !found {
-		if word.Relayed {
+		if status.Relayed {
 			return News{Unknown: true}
 		}
-		known = s.add(word.Entry)
+		known = s.add(status.Entry)
 	}
-	started := at.Add(-word.Age)
-	if found && s.outdated(now, known, word, started) {
+	started := at.Add(-status.Age)
+	if found && s.outdated(now, known, status, started) {
 		return News{Old: true}
 	}
-	news := News{Joined: !found || !s.live(now, known), Replaced: found && known.Incarnation != word.Incarnation}
-	news.Returned = news.Joined && found && known.Sequence > 0
-	if word.Relayed {
-		known.Incarnation = word.Incarnation
+	update := News{Joined: !found || !s.live(now, known), Replaced: found && known.Incarnation != status.Incarnation}
+	update.Returned = update.Joined && found && known.Sequence > 0
+	if status.Relayed {
+		known.Incarnation = status.Incarnation
 	} else {
-		known.Entry, known.Direct = word.Entry, at
+		known.Entry, known.Direct = status.Entry, at
 	}
-	known.State, known.Blind, known.Version, known.Sequence = word.State, word.Blind, word.Version, word.Sequence
+	known.State, known.Blind, known.Version, known.Sequence = status.State, status.Blind, status.Version, status.Sequence
 	known.Heard, known.Started = at, started
-	return news
+	return update
 }
 
-// outdated reports whether a word is older than what is known. Datagrams come late, and
-// relays pass on the word of an incarnation that they do not know to be replaced.
-func (s *Set) outdated(now time.Time, known *Member, word Word, started time.Time) bool {
-	if known.Incarnation == word.Incarnation {
-		return word.Sequence <= known.Sequence
+// outdated reports whether a status is older than the known one. Datagrams may arrive late,
+// and relays pass on the status of an incarnation while they do not know that it has been
+// replaced.
+func (s *Set) outdated(now time.Time, known *Member, status Word, started time.Time) bool {
+	if known.Incarnation == status.Incarnation {
+		return status.Sequence <= known.Sequence
 	}
 	return known.Started.After(started) && s.live(now, known)
 }
 
-// Touched notes any other message of an entry, such as a report of its load, which also
-// shows that it lives; false: it is old, or its sender is not known yet.
+// Touched records any other message of an entry, such as a report of its load, which also
+// shows that it is live. It returns false if the message is outdated or its sender is not
+// known yet.
 func (s *Set) Touched(now time.Time, name string, incarnation, sequence uint64) bool {
 	known, found := s.members[name]
 	if !found || known.Incarnation != incarnation || sequence <= known.Sequence {
@@ -188,48 +194,48 @@
 	return true
 }
 
-// Prune removes entries that have been unheard for too long and returns them. An
-// entry that hears less than half of the others removes none: it may be the one
-// that is cut off, and the others still count on its keeping to its share.
+// Prune removes entries without contact for the removal time and returns them. An entry that
+// has contact with less than half of the others removes none: it may itself be partitioned,
+// and the others rely on it to stay within its share.
 func (s *Set) Prune(now time.Time) []Entry {
-	var old []Entry
+	var expired []Entry
 	for _, m := range s.members {
 		if now.Sub(m.Heard) > s.config.Removal {
-			old = append(old, m.Entry)
+			expired = append(expired, m.Entry)
 		}
 	}
-	if len(old)*2 > len(s.members) {
+	if len(expired)*2 > len(s.members) {
 		return nil
 	}
-	for _, entry := range old {
+	for _, entry := range expired {
 		delete(s.members, entry.Name)
 	}
 	s.order = slices.DeleteFunc(s.order, func(m *Member) bool { return s.members[m.Name] != m })
-	return old
+	return expired
 }
 
-// Members returns all other entries that may be serving, in the order of their places.
+// Members returns all other entries that may be serving, in the order of their positions.
 func (s *Set) Members() []Member {
 	return s.filter(func(*Member) bool { return true })
 }
 
-func (s *Set) filter(holds func(*Member) bool) []Member {
+func (s *Set) filter(match func(*Member) bool) []Member {
 	var members []Member
 	for _, m := range s.order {
-		if holds(m) {
+		if match(m) {
 			members = append(members, *m)
 		}
 	}
 	return members
 }
 
-// Live reports whether an entry has been heard within the silence limit.
+// Live reports whether there was contact with an entry within the failure-detection timeout.
 func (s *Set) Live(now time.Time, name string) bool {
 	m, found := s.members[name]
 	return found && s.live(now, m)
 }
 
-func (s *Set) live(now time.Time, m *Member) bool { return now.Sub(m.Heard) < s.silence() }
+func (s *Set) live(now time.Time, m *Member) bool { return now.Sub(m.Heard) < s.failureTimeout() }
 
 // Serving returns the other entries that callers may be sent to.
 func (s *Set) Serving(now time.Time) []Member {
@@ -238,9 +244,8 @@
 
 func (s *Set) serves(now time.Time, m *Member) bool { return m.State == Ready && s.live(now, m) }
 
-// Readers returns the live entries among which the one is chosen that reads the
-// store for the others: those that serve and can read it; where there are none, all
-// that live.
+// Readers returns the live entries from which the reader of the store is chosen: those that
+// serve and can read the store or, if there are none, all that are not draining.
 func (s *Set) Readers(now time.Time) []Member {
 	able := s.filter(func(m *Member) bool { return s.serves(now, m) && !m.Blind })
 	if len(able) > 0 {
@@ -249,10 +254,10 @@
 	return s.filter(func(m *Member) bool { return m.State != Draining && s.live(now, m) })
 }
 
-// Size is the number of entries that may be serving, this one included.
+// Size returns the number of entries that may be serving, including this one.
 func (s *Set) Size() int { return len(s.members) + 1 }
 
-func (s *Set) silence() time.Duration {
+func (s *Set) failureTimeout() time.Duration {
 	if dispatch.Cells(s.Size()) > 1 {
 		return s.config.RelayedSilence
 	}
