--- a/internal/core/membership/list.go
+++ b/internal/core/membership/list.go
@@ -48,8 +48,8 @@
 func (m *Membership) prune(now time.Time) {
 	for i := len(m.peers) - 1; i >= 0; i-- {
 		p := m.peers[i]
-		silent := now.Sub(p.lastContact) > m.Silence()
-		if p.listed || !p.everListed || p.linked || !silent {
+		unresponsive := now.Sub(p.lastContact) > m.Silence()
+		if p.listed || !p.everListed || p.linked || !unresponsive {
 			continue
 		}
 		m.drop(p)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("Placement", func() {
-	It("keeps to the zone, spreads evenly, and falls to others without it", func() {
+	It("prefers members of the zone, spreads evenly, and falls back to other zones", func() {
 		all := members(44)
 		count := map[ident.Incarnation]int{}
 		byName := map[ident.Incarnation]message.Member{}
@@ -58,7 +58,7 @@
 		Expect(placement.Home(1, nil)).To(BeEmpty())
 	})
 
-	It("gives homes to all members, whatever the order of the list", func() {
+	It("distributes coordinators over all members, independent of the order of the list", func() {
 		all := members(6)
 		reversed := make([]message.Member, 0, len(all))
 		for i := range all {
@@ -72,8 +72,8 @@
 		Expect(homes).To(HaveLen(6))
 	})
 
-	// An entry is replaced under its name with nothing kept. Its targets must go
-	// to the new process, and no other target may move.
+	// An entry is replaced under its name without its state. Its targets must move to the
+	// new process, and no other target may move.
 	It("moves nothing else when an entry is replaced under its name", func() {
 		all := members(22)
 		p := placement.NewPlan()
@@ -92,8 +92,8 @@
 	})
 })
 
-// Members come, go, are replaced and change zones at random; the plan that works
-// out only what changed must agree with one worked out from nothing.
+// Members join, leave, are replaced and change zones at random. The plan, which recomputes
+// only what changes, must agree with a plan computed from scratch.
 func TestPlanAgreesWithScheduler(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := placement.NewPlan()
@@ -116,7 +116,7 @@
 			for _, target := range want {
 				now := p.Scheduler(target.Name)
 				if now != placement.Scheduler(target.Name, target.Zone, list) || now != before[target.Name] {
-					rt.Fatalf("%s: plan says %q, from nothing %q, moves %q", target.Name, now,
+					rt.Fatalf("%s: plan has %q, from scratch %q, moves %q", target.Name, now,
 						placement.Scheduler(target.Name, target.Zone, list), before[target.Name])
 				}
 			}
@@ -124,8 +124,9 @@
 	})
 }
 
-// BenchmarkPlanOneReplaced: a member goes and comes back, two changes an operation.
-func BenchmarkPlanOneGoesAndComes(b *testing.B) {
+// BenchmarkPlanOneLeavesAndJoins: a member leaves and joins again, two changes per
+// operation.
+func BenchmarkPlanOneLeavesAndJoins(b *testing.B) {
 	for _, size := range []struct{ members, targets int }{{6, 15}, {48, 200}, {410, 1800}} {
 		b.Run(fmt.Sprintf("members=%d/targets=%d", size.members, size.targets), func(b *testing.B) {
 			all := members(size.members)
@@ -140,8 +141,9 @@
 	}
 }
 
-// BenchmarkPlanWhole works all out anew; one zone: every pair is compared.
-func BenchmarkPlanWhole(b *testing.B) {
+// BenchmarkPlanFromScratch computes the whole plan. The members are not in the targets'
+// zone, so every pair is compared.
+func BenchmarkPlanFromScratch(b *testing.B) {
 	all, list := members(410), targets(1800)
 	for i := range list {
 		list[i].Zone = "elsewhere"
