--- a/internal/core/membership/list.go
+++ b/internal/core/membership/list.go
@@ -28,7 +28,8 @@
 	m.prune(now)
 }
 
-// addListed adds a listed name. A leaving one that was never connected is ignored.
+// addListed adds a listed name. A leaving instance to which there never was a link is
+// ignored.
 func (m *Membership) addListed(now time.Time, row Instance) {
 	p := m.byName[row.Name]
 	if p == nil {
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -40,7 +40,8 @@
 	// FarDigests: one heartbeat in this many carries digests to a peer of another zone; 0:
 	// DefaultFarDigests.
 	FarDigests int
-	// Seed is the random seed that spreads heartbeats, and callers over the members.
+	// Seed seeds the random numbers that spread heartbeats over time and callers over the
+	// members.
 	Seed uint64
 }
 
--- a/internal/core/membership/peer.go
+++ b/internal/core/membership/peer.go
@@ -6,11 +6,11 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// peer is one name: a member that was connected, or a row of the list that was not. Its
-// Incarnation is empty until a link has been open.
+// peer is one name: a member to which there has been a link, or a listed name without one.
+// Its Incarnation is empty until a link has been open.
 type peer struct {
 	message.Member
-	// since is when it was first connected or listed.
+	// since is when it was first linked or listed.
 	since time.Time
 	// linked: a link is open. terminated: its process is proven to have ended.
 	linked, terminated bool
@@ -55,8 +55,8 @@
 	return now.Sub(m.sentAt(p.echoed)) <= m.Silence()
 }
 
-// counts reports whether the peer counts for the quorum, which requires an exchange of
-// heartbeats with more than half of the members that count.
+// counts reports whether the peer counts for the quorum, for which Quorum requires an
+// exchange of heartbeats with more than half of all members that count.
 func (m *Membership) counts(now time.Time, p *peer) bool {
 	if p.terminated {
 		return false
--- a/internal/core/peerset/cells.go
+++ b/internal/core/peerset/cells.go
@@ -23,8 +23,8 @@
 	// Own is this entry's cell, Count the number of cells, Entries the number of entries
 	// that serve, including this one.
 	Own, Count, Entries int
-	// Mates are the other entries of the cell that serve. Audience adds the live entries
-	// that would be in the cell if they served.
+	// Mates are the other entries of the cell that serve. Audience is Mates and the live
+	// entries that would be in the cell if they served.
 	Mates, Audience []Entry
 	// Relays reports whether this entry relays the status of its cell.
 	Relays bool
@@ -86,9 +86,10 @@
 	return others
 }
 
-// positionAmong returns the number of sorted entries that come before a position.
+// positionAmong returns the number of entries, sorted by position, that come before a
+// position.
 func positionAmong(sorted []*Member, position uint64) int {
-	i, _ := slices.BinarySearchFunc(sorted, position, func(m *Member, place uint64) int { return cmp.Compare(m.position, place) })
+	i, _ := slices.BinarySearchFunc(sorted, position, func(m *Member, position uint64) int { return cmp.Compare(m.position, position) })
 	return i
 }
 
--- a/internal/core/peerset/cells_test.go
+++ b/internal/core/peerset/cells_test.go
@@ -179,7 +179,7 @@
 const large = 195
 
 // All entries agree on the cells: each entry is in one cell, and its cell peers agree.
-func TestCellsPartitionTheFleet(t *testing.T) {
+func TestEveryEntryIsInOneCell(t *testing.T) {
 	for _, n := range []int{9, 18, 84, large} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/core/placement/plan.go
+++ b/internal/core/placement/plan.go
@@ -158,7 +158,7 @@
 }
 
 func (p *Plan) update(t *scheduled, before *Plan, joined []int) {
-	if p.mustReplace(t, before) {
+	if p.needsPlacement(t, before) {
 		p.place(t)
 		return
 	}
@@ -175,9 +175,9 @@
 	}
 }
 
-// mustReplace reports whether the current scheduler has left or changed its zone, or the
+// needsPlacement reports whether the current scheduler has left or changed its zone, or the
 // target's zone got its first member or lost its last.
-func (p *Plan) mustReplace(t *scheduled, before *Plan) bool {
+func (p *Plan) needsPlacement(t *scheduled, before *Plan) bool {
 	if t.scheduler == "" {
 		return true
 	}
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -34,9 +34,9 @@
 	// answers of a millisecond counted as slow, and a good version was rolled back while its
 	// entry was busy.
 	entryDelay = 10 * time.Millisecond
-	// maxDurations is the number of old requests from whose durations the drain time is
-	// estimated; drainQuantile is the share of them that has to end within it.
-	maxDurations  = 256
+	// maxOldTimes is the number of old requests from whose times at their targets the drain
+	// time is estimated; drainQuantile is the share of them that has to end within it.
+	maxOldTimes   = 256
 	drainQuantile = 0.9
 )
 
@@ -165,10 +165,10 @@
 	oldTallies, newTallies groupTallies
 	// inOrder lists the targets in the order in which they were first seen.
 	inOrder []*targetTimes
-	// multiples are the old version's times as multiples of the baselines; oldDurations is
-	// how long its requests were at their targets.
+	// multiples are the old version's times as multiples of the baselines; oldTimes is how
+	// long its requests were at their targets.
 	multiples [measures]ring
-	durations ring
+	oldTimes  ring
 	loads     [measures]loadFactors
 }
 
@@ -193,7 +193,7 @@
 	}
 	e.addTimes(t, &o)
 	if !o.New {
-		e.durations.add(float64(o.Took), maxDurations)
+		e.oldTimes.add(float64(o.Took), maxOldTimes)
 	}
 	s := sample{Observation: o, slice: int64(now.Sub(e.start) / sliceLength)}
 	tally := e.tallyOf(&s)
@@ -308,7 +308,7 @@
 }
 
 // drain returns the time within which requests at old targets are expected to end.
-func (e *evidence) drain() time.Duration { return time.Duration(e.durations.quantile(drainQuantile)) }
+func (e *evidence) drain() time.Duration { return time.Duration(e.oldTimes.quantile(drainQuantile)) }
 
 // minRouteAnswers is the number of the old version's answers from which a route must also
 // have been observed on the new one: a version may be bad on one route only.
--- a/internal/core/rollout/judge.go
+++ b/internal/core/rollout/judge.go
@@ -13,7 +13,7 @@
 	minAnswers = 6
 	// maxExcessBad is the number of bad answers, beyond those that the old version would
 	// have had, at which a version is rolled back whatever the comparison shows. Operators
-	// count the time within which it has to be stopped from the 50th.
+	// count the time within which a version has to be stopped from its 50th bad answer.
 	maxExcessBad = 30
 )
 
--- a/internal/core/rollout/loads.go
+++ b/internal/core/rollout/loads.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// maxLoad is the highest load with a factor of its own; higher loads share it.
+	// maxLoad is the highest load with a factor of its own; higher loads count as maxLoad.
 	maxLoad = 12
 	// minAnswersPerLoad is the number of answers at a load from which its factor is
 	// computed.
--- a/internal/core/rollout/simulation_test.go
+++ b/internal/core/rollout/simulation_test.go
@@ -521,8 +521,8 @@
 	return m
 }
 
-// boundBroken reports whether a bad version got more requests than the operators allow.
-func (m *sim) boundBroken() bool {
+// exceedsBounds reports whether a bad version got more requests than the operators allow.
+func (m *sim) exceedsBounds() bool {
 	if !m.flaw.bad() {
 		return false
 	}
--- a/internal/core/rollout/slowtargets.go
+++ b/internal/core/rollout/slowtargets.go
@@ -84,8 +84,8 @@
 		if !t.isNew {
 			continue
 		}
-		if part, ratio, compared := rank(t.baselines(minTimes), oldBaselines); compared {
-			ranks = append(ranks, targetRank{part, ratio})
+		if share, ratio, compared := rank(t.baselines(minTimes), oldBaselines); compared {
+			ranks = append(ranks, targetRank{share, ratio})
 		}
 	}
 	return ranks, e.knowsEnough(oldBaselines)
--- a/internal/core/rollout/table_test.go
+++ b/internal/core/rollout/table_test.go
@@ -61,29 +61,29 @@
 
 // summary sums up the results of several simulations.
 type summary struct {
-	runs, broken, wrong, inTime, aborted int
-	worstExposure, worstCanary           float64
-	took                                 time.Duration
-	unexpected                           []string
+	runs, exceeded, wrong, inTime, aborted int
+	worstExposure, worstCanary             float64
+	took                                   time.Duration
+	unexpected                             []string
 }
 
 func (r *summary) add(m *sim) {
 	r.runs++
 	final := m.store.Phase
-	wanted := rollout.Completed
+	expected := rollout.Completed
 	if m.flaw.bad() {
-		wanted = rollout.RolledBack
+		expected = rollout.RolledBack
 	}
-	if m.boundBroken() {
-		r.broken++
+	if m.exceedsBounds() {
+		r.exceeded++
 	}
-	if final != wanted {
+	if final != expected {
 		r.wrong++
 	}
 	if m.inTime() {
 		r.inTime++
 	}
-	if m.boundBroken() || final != wanted || !m.inTime() {
+	if m.exceedsBounds() || final != expected || !m.inTime() {
 		r.unexpected = append(r.unexpected, fmt.Sprintf("%s, %s, %s, %s, seed %d: %s (%s), exposed %d of %d, late %d, after %s",
 			m.load.name, m.order.Duration, m.flaw.name, m.fault.name, m.seed, final, m.reason, m.exposed, m.total, m.lateExposed, m.finalAt.Sub(m.start)))
 	}
@@ -95,7 +95,7 @@
 
 func (r *summary) String() string {
 	return fmt.Sprintf("runs %3d  exposure exceeded %2d  wrong %2d  in time %3d  worst exposure %.2f  aborted %3d  mean time %4.1f s",
-		r.runs, r.broken, r.wrong, r.inTime, r.worstExposure, r.aborted, r.took.Seconds()/float64(r.runs))
+		r.runs, r.exceeded, r.wrong, r.inTime, r.worstExposure, r.aborted, r.took.Seconds()/float64(r.runs))
 }
 
 // simulate runs a version with each fault and seed.
@@ -129,7 +129,7 @@
 // traffic.
 func TestFailingVersionsAreRolledBack(t *testing.T) {
 	forEachLoad(t, failing, faults, []time.Duration{short, medium, long}, func(t *testing.T, r *summary) {
-		if r.broken+r.wrong > 0 {
+		if r.exceeded+r.wrong > 0 {
 			t.Errorf("%s\n%q", r, r.unexpected)
 		}
 	})
@@ -139,7 +139,7 @@
 // same bounds apply as to failing versions.
 func TestSlowVersionsAreRolledBack(t *testing.T) {
 	forEachLoad(t, slow, faults, []time.Duration{short, medium, long}, func(t *testing.T, r *summary) {
-		if r.broken+r.wrong > 0 {
+		if r.exceeded+r.wrong > 0 {
 			t.Errorf("%s\n%q", r, r.unexpected)
 		}
 	})
--- a/internal/core/rollout/tracker.go
+++ b/internal/core/rollout/tracker.go
@@ -23,8 +23,8 @@
 	// maxChance is the maximum probability of a request to go to the canary during a burst.
 	maxChance = 0.9
 	// An entry stops sending to the canary when it has not heard from the leader for
-	// leaderTimeoutShare of the time within which a bad version must be stopped, at most for
-	// maxLeaderTimeout.
+	// leaderTimeoutShare of the time within which a bad version must be stopped, and after
+	// maxLeaderTimeout at the latest.
 	leaderTimeoutShare = 0.3
 	maxLeaderTimeout   = 1500 * time.Millisecond
 	// rotationPeriod is how long a set of new servers is the canary: long enough for each to
--- a/internal/core/rollout/tracker_test.go
+++ b/internal/core/rollout/tracker_test.go
@@ -128,9 +128,9 @@
 	all := append(targetsOf("v1", 60), targetsOf("v2", 60)...)
 	tracker := newTracker(rollout.Canary)
 	seen := make(map[string]bool)
-	for turn := range 3 {
-		now := startTime.Add(time.Duration(turn)*4500*time.Millisecond + time.Second)
-		w.Expect(tracker.TurnDue(now)).To(Equal(turn > 0))
+	for rotation := range 3 {
+		now := startTime.Add(time.Duration(rotation)*4500*time.Millisecond + time.Second)
+		w.Expect(tracker.TurnDue(now)).To(Equal(rotation > 0))
 		placed := tracker.Place(now, all, "engines")
 		w.Expect(newTracker(rollout.Canary).Place(now, all, "engines")).To(Equal(placed))
 		for _, target := range placed[60:] {
