--- a/internal/core/membership/views.go
+++ b/internal/core/membership/views.go
@@ -15,7 +15,7 @@
 	// Linked: a link is open. Live: it may schedule targets. Counts: it counts for the
 	// quorum.
 	Linked, Live, Counts bool
-	// Silent is the time since the last contact, Unechoed the age of the last of our
+	// SinceContact is the time since the last contact, SinceEcho the age of the last of our
 	// heartbeats that it received; negative: never.
 	Silent, Unechoed time.Duration
 	// Digests are the last ones received from it, DigestAge is how long ago.
--- a/internal/core/peerset/cells.go
+++ b/internal/core/peerset/cells.go
@@ -23,12 +23,12 @@
 	// Own is this entry's cell, Count the number of cells, Entries the number of entries
 	// that serve, including this one.
 	Own, Count, Entries int
-	// Mates are the other entries of the cell that serve. Audience is Mates and the live
+	// Peers are the other entries of the cell that serve. Audience is Peers and the live
 	// entries that would be in the cell if they served.
 	Mates, Audience []Entry
 	// Relays reports whether this entry relays the status of its cell.
 	Relays bool
-	// Others are the serving entries of the other cells, by cell, if Relays.
+	// OtherCells are the serving entries of the other cells, by cell, if IsRelay.
 	Others [][]Entry
 }
 
--- a/internal/core/peerset/cells_test.go
+++ b/internal/core/peerset/cells_test.go
@@ -299,7 +299,8 @@
 }
 
 // A relay passes on the status of an entry that is not in the register yet. Without its
-// addresses no messages can be sent to it; the caller of Heard has the register read again.
+// addresses no messages can be sent to it; the caller of ApplyStatus has the register read
+// again.
 func TestRelayedStatusOfAnUnknownEntry(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
--- a/internal/core/peerset/peerset.go
+++ b/internal/core/peerset/peerset.go
@@ -57,14 +57,14 @@
 type Member struct {
 	Entry
 	State State
-	// Heard is the time of the last contact, Started when it started, both by the local
-	// clock.
+	// LastContact is the time of the last contact, Started when it started, both by the
+	// local clock.
 	Heard, Started time.Time
 	// Blind: it is disconnected from the store.
 	Blind bool
 	// Version is the version of the configuration in force at the entry.
 	Version int64
-	// Sequence is the number of its last message, Direct the time of the last contact
+	// Sequence is the number of its last message, LastDirect the time of the last contact
 	// without a relay.
 	Sequence uint64
 	Direct   time.Time
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -104,11 +104,12 @@
 	// Loaded reports whether that was more than half of the target's slots.
 	Load   int
 	Loaded bool
-	// Failed: the target answered with an error of its own, or aborted the answer. Severed:
-	// the connection was lost or timed out, which ends all requests on it at once.
+	// Failed: the target answered with an error of its own, or aborted the answer.
+	// ConnectionLost: the connection was lost or timed out, which ends all requests on it at
+	// once.
 	Failed, Severed bool
 	// Pace is the mean interval between the events of a stream, or the time to an answer
-	// that is not streamed. First is the time to the first event of a stream, per 1,000
+	// that is not streamed. FirstEvent is the time to the first event of a stream, per 1,000
 	// tokens that had to be read. 0: not measured.
 	Pace, First time.Duration
 	// Took is how long the request was at the target.
