--- a/internal/core/claims/batch.go
+++ b/internal/core/claims/batch.go
@@ -8,7 +8,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// batch is one record on its way to the log.
+// batch is one record whose append has not been answered.
 type batch struct {
 	tag    uint64
 	sent   time.Time
@@ -30,19 +30,19 @@
 	return b
 }
 
-// flush writes what is due: once the oldest has waited for BatchEvery, or when
-// a record is full.
+// flush appends the claims and releases that are due: when the oldest has waited
+// for BatchDelay, or when a record is full.
 func (h *Home) flush(now time.Time, p *partition) {
 	if p.stage != stageReady {
 		return
 	}
-	p.fresh = 0
+	p.sinceFlush = 0
 	for {
-		due, oldest := p.dueAsks(h.cfg.MaxBatch)
+		due, oldest := p.dueClaims(h.cfg.MaxBatch)
 		if len(due) == 0 || len(due) < h.cfg.MaxBatch && now.Sub(oldest) < h.cfg.BatchEvery {
 			break
 		}
-		h.sendAsks(now, p, due)
+		h.sendClaims(now, p, due)
 	}
 	for {
 		due, oldest := p.dueReleases(h.cfg.MaxBatch)
@@ -53,14 +53,14 @@
 	}
 }
 
-// dueAsks lists asks to be written, the first of each key's line, and when the
-// oldest of them came due.
-func (p *partition) dueAsks(limit int) (due []*ask, oldest time.Time) {
-	for _, a := range p.asks {
-		if a.writing != writingDue || p.line[a.claim.Key][0] != a {
+// dueClaims returns the pending claims to be appended, only the first of each
+// key, and when the oldest of them became due.
+func (p *partition) dueClaims(limit int) (due []*pendingClaim, oldest time.Time) {
+	for _, a := range p.pending {
+		if a.state != writeDue || p.byKey[a.claim.Key][0] != a {
 			continue
 		}
-		due, oldest = append(due, a), earliest(oldest, later(a.asked, a.ended))
+		due, oldest = append(due, a), earliest(oldest, later(a.requestedAt, a.endedAt))
 		if len(due) == limit {
 			break
 		}
@@ -70,10 +70,10 @@
 
 func (p *partition) dueReleases(limit int) (due []*release, oldest time.Time) {
 	for _, r := range p.releases {
-		if r.writing != writingDue {
+		if r.state != writeDue {
 			continue
 		}
-		due, oldest = append(due, r), earliest(oldest, later(r.asked, r.ended))
+		due, oldest = append(due, r), earliest(oldest, later(r.requestedAt, r.endedAt))
 		if len(due) == limit {
 			break
 		}
@@ -95,15 +95,15 @@
 	return a
 }
 
-func (h *Home) sendAsks(now time.Time, p *partition, due []*ask) {
+func (h *Home) sendClaims(now time.Time, p *partition, due []*pendingClaim) {
 	claims := make([]record.Claim, len(due))
 	for i, a := range due {
 		claims[i] = a.claim
-		p.unread[a.claim] = now
+		p.unconfirmed[a.claim] = now
 	}
 	b := h.append(now, p.number, claims, nil)
 	for _, a := range due {
-		a.writing = writingSent
+		a.state = writeSent
 		b.writes = append(b.writes, &a.write)
 	}
 }
@@ -111,60 +111,61 @@
 func (h *Home) sendReleases(now time.Time, p *partition, due []*release) {
 	b := h.append(now, p.number, nil, claimsOf(due))
 	for _, r := range due {
-		r.writing = writingSent
+		r.state = writeSent
 		b.writes = append(b.writes, &r.write)
 	}
 }
 
-func (h *Home) answer(a *ask, winner ident.RequestID) {
+func (h *Home) answer(a *pendingClaim, winner ident.RequestID) {
 	h.out = append(h.out, Verdict{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Winner: winner})
 }
 
-// noVerdict turns an ask away. What was read still counts against it: that
-// another request came first stays true while the log is out, and "not run"
-// would be false if that one ran.
-func (h *Home) noVerdict(p *partition, a *ask) {
+// refuse answers a pending claim without a new decision. If another request is
+// known to hold the key, the answer names it as the winner: this remains true
+// while the log is unavailable, and "not run" would be false if that request ran.
+func (h *Home) refuse(p *partition, a *pendingClaim) {
 	v := Verdict{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Unread: p == nil || !p.read}
 	if p != nil {
-		if holder := p.fold.holder(a.claim.Key); holder != a.claim.ID {
+		if holder := p.state.holder(a.claim.Key); holder != a.claim.ID {
 			v.Winner = holder
 		}
 	}
 	h.out = append(h.out, v)
 }
 
-// settled answers an ask if what was read decides it.
-func (h *Home) settled(p *partition, a *ask) bool {
-	if p.fold.isReleased(a.claim) {
+// tryDecide answers a pending claim if the records that were read decide it, and
+// reports whether they do.
+func (h *Home) tryDecide(p *partition, a *pendingClaim) bool {
+	if p.state.isReleased(a.claim) {
 		h.answer(a, "")
 		return true
 	}
-	if holder := p.fold.holder(a.claim.Key); holder != "" {
+	if holder := p.state.holder(a.claim.Key); holder != "" {
 		h.answer(a, holder)
 		return true
 	}
 	return false
 }
 
-// settleKeys answers the asks for keys of which something was read.
-func (h *Home) settleKeys(p *partition, touched []record.Claim) {
+// decideKeys answers the pending claims of keys for which a record was read.
+func (h *Home) decideKeys(p *partition, touched []record.Claim) {
 	for _, c := range touched {
-		h.settleLine(p, c.Key)
+		h.decideKey(p, c.Key)
 	}
 }
 
-func (h *Home) settleLine(p *partition, key request.KeyHash) {
-	for _, a := range append([]*ask(nil), p.line[key]...) {
-		if h.settled(p, a) {
+func (h *Home) decideKey(p *partition, key request.KeyHash) {
+	for _, a := range append([]*pendingClaim(nil), p.byKey[key]...) {
+		if h.tryDecide(p, a) {
 			p.remove(a)
 		}
 	}
 }
 
 func (h *Home) refuseAll(p *partition) {
-	for _, a := range p.asks {
-		h.noVerdict(p, a)
+	for _, a := range p.pending {
+		h.refuse(p, a)
 	}
-	p.asks = nil
-	clear(p.line)
+	p.pending = nil
+	clear(p.byKey)
 }
--- a/internal/core/claims/claims.go
+++ b/internal/core/claims/claims.go
@@ -1,25 +1,25 @@
-// Package claims settles which request may run for an idempotency key that a
-// caller chose. It is the home's side: the home of a partition of keys writes
-// claims to the log in batches, reads the partition's stream, and gives its
-// verdict only from what it has read.
+// Package claims decides which request may run for an idempotency key chosen by
+// a caller. It implements the coordinator of a partition of keys, which appends
+// claims to the log in batches, reads the partition's stream, and decides only
+// from the records that it has read.
 //
-// Rule. Claims of a key stand in log order; a release takes its id's claim out,
-// whether it stands in the log before or after; a claim ages out after the
-// horizon. The first that is left holds the key. A claim that stands behind
-// moves up when those before it are released.
+// Rule: the claims of a key are ordered as in the log. A release removes the
+// claim of its id, whether it precedes or follows the claim in the log. A claim
+// expires after the horizon. The first remaining claim holds the key; when it is
+// released, the next one does.
 //
 // Invariant: of two requests whose claims for one key lie within the horizon,
-// at most one runs. A home says that an id holds the key only after reading the
-// id's claim and, from a horizon back, everything before it; so it has read the
-// claim of any other holder. That one is out of the way only by a release, which
-// none but its owner asks for, after it has voided the id. Homes are therefore
-// no authorities: two at once, or one that was paused, are safe. Times matter
-// only for ageing out; a reader that lags judges claims younger than they are
-// and keeps them longer.
+// at most one runs. A coordinator reports that an id holds the key only after
+// reading the id's claim and all records before it, back to the horizon, so it
+// has read the claim of any other holder. Only a release removes that claim, and
+// only its owner requests the release, after voiding the id. The log therefore
+// decides, not the coordinator: two coordinators at once, or one that was
+// paused, are safe. Times matter only for expiry. A reader that lags treats
+// claims as younger than they are, and keeps them longer.
 //
-// The owner's part: an owner that settles a request without dispatching it,
-// whatever the verdict was, voids the id and asks for its release. A loser that
-// is not released would hold the key once the winner is.
+// Owners: an owner that settles a request without dispatching it, whatever the
+// decision was, voids the id and requests the release of its claim. Otherwise
+// the claim would hold the key once the winner's claim is released.
 package claims
 
 import (
@@ -33,55 +33,57 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Config bounds a home.
+// Config configures a Coordinator.
 type Config struct {
-	// Partitions is the number of streams over which keys are spread. It is
-	// the same at all entries for as long as the log keeps claims.
+	// Partitions is the number of streams over which keys are distributed. It
+	// must be the same at all entries for as long as the log keeps claims.
 	Partitions int
 	// Horizon is how long a claim holds its key.
 	Horizon time.Duration
-	// BatchEvery is how long a claim waits for others to share its record;
-	// MaxBatch, how many share one at most.
+	// BatchDelay is how long a claim waits for others to share its record,
+	// MaxBatch the maximum number of claims in a record.
 	BatchEvery time.Duration
 	MaxBatch   int
-	// MaxKeys bounds what is remembered and waits, over all partitions: beyond
-	// it no new key is taken. What is read from others and the releases may
-	// bring memory to twice as much; beyond that a partition is given up.
+	// MaxKeys bounds the remembered and pending claims over all partitions:
+	// above it no new key is accepted. Claims of other entries and releases that
+	// are read may double that number; above it a partition is suspended.
 	MaxKeys int
-	// AppendTimeout is how long an ask may wait for its verdict.
+	// AppendTimeout is how long a claim may wait for its decision.
 	AppendTimeout time.Duration
 }
 
-// Effect is something to be done.
+// Effect is an action for the caller to perform.
 type Effect interface{ effect() }
 
-// Append writes a record to a partition's stream; answered by Appended.
+// Append appends a record to a partition's stream. Its result is passed to
+// Coordinator.Appended.
 type Append struct {
 	Tag       uint64
 	Partition int
 	Record    record.Record
 }
 
-// Follow reads a partition's stream from records no older than Back.
+// Follow starts reading a partition's stream, from records no older than Back.
 type Follow struct {
 	Partition int
 	Back      time.Duration
 }
 
-// Unfollow ends the reading of a partition's stream.
+// Unfollow stops reading a partition's stream.
 type Unfollow struct{ Partition int }
 
-// Verdict tells the owner To which request holds the key.
+// Decision reports to the owner To which request holds the key.
 type Verdict struct {
 	To  ident.Incarnation
 	Key request.KeyHash
 	ID  ident.RequestID
-	// Winner is ID itself or the request that came first. Empty: no verdict,
-	// because the log is down, memory is full, time ran out or this is not the
-	// home; the owner refuses, voids the id and asks for its release.
+	// Winner is ID itself or the request that came first. It is empty if there is
+	// no decision, because the log is unavailable, memory is full, the time-out
+	// passed or this is not the coordinator. The owner then refuses the request,
+	// voids the id and requests the release of its claim.
 	Winner ident.RequestID
-	// Unread: no verdict, and this home has not read the partition, so a
-	// request with the key may have run earlier.
+	// Unread reports that there is no decision and that this coordinator has not
+	// read the partition, so a request with the key may have run earlier.
 	Unread bool
 }
 
@@ -90,41 +92,43 @@
 func (Unfollow) effect() {}
 func (Verdict) effect()  {}
 
-// Home is the state of one entry's partitions. Not safe for concurrent use.
+// Coordinator coordinates the partitions assigned to one entry. It is not safe
+// for concurrent use.
 type Home struct {
 	cfg Config
-	// partitions is in the order of their numbers.
+	// partitions are sorted by number.
 	partitions []*partition
 	batches    []*batch
 	tags       uint64
 	out        []Effect
 }
 
-// New starts as home of nothing.
+// New returns a Coordinator without partitions.
 func New(cfg Config) *Home { return &Home{cfg: cfg} }
 
-// PartitionOf says which partition a key belongs to.
+// PartitionOf returns the partition of a key.
 func PartitionOf(key request.KeyHash, partitions int) int {
 	return int(xxhash.Sum64String(string(key)) % uint64(partitions))
 }
 
-// SetHome says of which partitions this entry is the home. One that is no more
-// listed is followed until the asks that wait in it are settled.
+// SetPartitions sets the partitions that this entry coordinates. A partition
+// that is no longer listed is followed until its pending claims are decided and
+// its releases are read back, at most for AppendTimeout.
 func (h *Home) SetHome(now time.Time, partitions []int) []Effect {
 	h.out = nil
 	for _, p := range h.partitions {
 		if !slices.Contains(partitions, p.number) && !p.leaving {
-			p.leaving, p.leftAt = true, now
+			p.leaving, p.leavingSince = true, now
 		}
 	}
 	for _, number := range partitions {
-		h.join(now, number)
+		h.addPartition(now, number)
 	}
-	h.dropLeft(now)
+	h.dropLeaving(now)
 	return h.out
 }
 
-func (h *Home) join(now time.Time, number int) {
+func (h *Home) addPartition(now time.Time, number int) {
 	at, found := slices.BinarySearchFunc(h.partitions, number, byNumber)
 	if found {
 		h.partitions[at].leaving = false
@@ -142,7 +146,7 @@
 
 func byNumber(p *partition, number int) int { return p.number - number }
 
-// find returns the partition of that number, or nil.
+// find returns the partition with the given number, or nil.
 func (h *Home) find(number int) *partition {
 	at, found := slices.BinarySearchFunc(h.partitions, number, byNumber)
 	if !found {
@@ -151,36 +155,38 @@
 	return h.partitions[at]
 }
 
-// Ask claims a key for a request of the owner from. The same id may ask again.
+// Claim claims a key for a request of the owner from. Repeating it for the same
+// id is allowed.
 func (h *Home) Ask(now time.Time, from ident.Incarnation, key request.KeyHash, id ident.RequestID) []Effect {
 	h.out = nil
 	p := h.find(PartitionOf(key, h.cfg.Partitions))
-	a := &ask{claim: record.Claim{Key: key, ID: id}, to: from, asked: now}
+	a := &pendingClaim{claim: record.Claim{Key: key, ID: id}, to: from, requestedAt: now}
 	if p == nil || p.leaving || p.stage == stageDown || p.stage == stageFull {
-		h.noVerdict(p, a)
+		h.refuse(p, a)
 		return h.out
 	}
-	if waiting := p.waiting(a.claim); waiting != nil {
+	if waiting := p.findPending(a.claim); waiting != nil {
 		waiting.to = from
 		return h.out
 	}
-	if p.stage == stageReady && h.settled(p, a) {
+	if p.stage == stageReady && h.tryDecide(p, a) {
 		return h.out
 	}
 	if h.Size() >= h.cfg.MaxKeys {
-		// Forgetting an older claim to make room would let its key run twice.
-		h.noVerdict(p, a)
+		// Evicting an older claim would allow a second request to run for its key.
+		h.refuse(p, a)
 		return h.out
 	}
 	p.enqueue(a)
-	if p.fresh >= h.cfg.MaxBatch {
+	if p.sinceFlush >= h.cfg.MaxBatch {
 		h.flush(now, p)
 	}
 	return h.out
 }
 
-// Release gives up a claim whose request was voided. It is written also when
-// no claim was read yet, since an append that was given up may still land.
+// Release releases the claim of a voided request. The release is appended even
+// if the claim has not been read, since an append that timed out may still reach
+// the log.
 func (h *Home) Release(now time.Time, key request.KeyHash, id ident.RequestID) []Effect {
 	h.out = nil
 	claim := record.Claim{Key: key, ID: id}
@@ -189,18 +195,18 @@
 		h.append(now, PartitionOf(key, h.cfg.Partitions), nil, []record.Claim{claim})
 		return h.out
 	}
-	if a := p.waiting(claim); a != nil {
+	if a := p.findPending(claim); a != nil {
 		p.remove(a)
 	}
 	if p.releaseNeeded(claim) && len(p.releases) < h.cfg.MaxKeys {
-		p.releases = append(p.releases, &release{claim: claim, asked: now})
+		p.releases = append(p.releases, &release{claim: claim, requestedAt: now})
 	}
 	h.flush(now, p)
 	return h.out
 }
 
-// Record takes the next record of a partition's stream, in log order. Age is
-// how long ago the log took it.
+// Record processes the next record of a partition's stream, in log order. Age
+// is the time since it was appended to the log.
 func (h *Home) Record(now time.Time, number int, offset int64, age time.Duration, rec record.Record) []Effect {
 	h.out = nil
 	p := h.find(number)
@@ -209,41 +215,41 @@
 	}
 	p.last = offset
 	for _, c := range rec.Claims {
-		p.fold.claim(c, now.Add(-age))
-		delete(p.unread, c)
+		p.state.claim(c, now.Add(-age))
+		delete(p.unconfirmed, c)
 	}
 	for _, c := range rec.Releases {
-		p.fold.release(c, now.Add(-age))
-		p.released(c)
+		p.state.release(c, now.Add(-age))
+		p.confirmRelease(c)
 	}
-	p.fold.expire(now.Add(-h.cfg.Horizon))
-	if h.remembered() > overflowAt*h.cfg.MaxKeys {
+	p.state.expire(now.Add(-h.cfg.Horizon))
+	if h.remembered() > overflowFactor*h.cfg.MaxKeys {
 		h.overflow(now, p)
 		return h.out
 	}
 	if p.stage == stageReady {
-		h.settleKeys(p, rec.Claims)
-		h.settleKeys(p, rec.Releases)
+		h.decideKeys(p, rec.Claims)
+		h.decideKeys(p, rec.Releases)
 	}
 	return h.out
 }
 
-// overflowAt, times MaxKeys, is the bound on what is remembered. A home that
-// takes keys up to MaxKeys must have room for the release of each.
-const overflowAt = 2
+// overflowFactor times MaxKeys bounds what is remembered: a coordinator that
+// accepts up to MaxKeys keys needs memory for the release of each.
+const overflowFactor = 2
 
-// overflow gives a partition up for a while, since it holds more claims than
-// there is memory for; without all of them no verdict is safe.
+// overflow suspends a partition that has more claims than fit into memory. No
+// decision is safe without all of them.
 func (h *Home) overflow(now time.Time, p *partition) {
 	h.refuseAll(p)
-	p.fold = newFold()
-	p.stage, p.fullAt = stageFull, now
+	p.state = newState()
+	p.stage, p.fullSince = stageFull, now
 	h.out = append(h.out, Unfollow{Partition: p.number})
 }
 
-// CaughtUp says that all records of the partition, as of a read begun at
-// since, were delivered. Only then may a home speak; and an append that ended
-// before since and was not read did not take effect, so it is made again.
+// CaughtUp reports that all records of the partition, as of a read begun at
+// since, were delivered. A coordinator decides only after that. An append that
+// ended before since and was not read had no effect, so it is repeated.
 func (h *Home) CaughtUp(now time.Time, number int, since time.Time) []Effect {
 	h.out = nil
 	p := h.find(number)
@@ -251,21 +257,22 @@
 		return h.out
 	}
 	p.stage, p.read = stageReady, true
-	for _, a := range slices.Clone(p.asks) {
-		if !h.settled(p, a) {
-			a.again(since)
+	for _, a := range slices.Clone(p.pending) {
+		if !h.tryDecide(p, a) {
+			a.retryUnlessRead(since)
 		} else {
 			p.remove(a)
 		}
 	}
 	for _, r := range p.releases {
-		r.again(since)
+		r.retryUnlessRead(since)
 	}
 	h.flush(now, p)
 	return h.out
 }
 
-// Down says that the partition's stream cannot be read. Nobody waits for it.
+// Down reports that the partition's stream cannot be read. Its pending claims
+// are refused at once.
 func (h *Home) Down(now time.Time, number int) []Effect {
 	h.out = nil
 	if p := h.find(number); p != nil && p.stage != stageFull {
@@ -275,8 +282,9 @@
 	return h.out
 }
 
-// Appended answers an Append. Failed: the log said no. Neither failed nor an
-// offset of 0 or more: not known. Also a known offset is settled by reading.
+// Appended reports the result of an Append. Failed means that the log rejected
+// it. Otherwise an offset of 0 or more means that the log accepted it, and a
+// negative one that the outcome is unknown. Reading the stream confirms both.
 func (h *Home) Appended(now time.Time, tag uint64, offset int64, failed bool) []Effect {
 	h.out = nil
 	at := slices.IndexFunc(h.batches, func(b *batch) bool { return b.tag == tag })
@@ -289,40 +297,43 @@
 	return h.out
 }
 
-// Tick lets time pass.
+// Tick processes time-outs and expiry, and flushes batches that are due.
 func (h *Home) Tick(now time.Time) []Effect {
 	h.out = nil
 	h.expireBatches(now)
 	for _, p := range h.partitions {
-		h.expireAsks(now, p)
-		p.fold.expire(now.Add(-h.cfg.Horizon))
-		p.forgetUnread(now.Add(-h.cfg.Horizon))
+		h.expirePending(now, p)
+		p.state.expire(now.Add(-h.cfg.Horizon))
+		p.expireUnconfirmed(now.Add(-h.cfg.Horizon))
 		h.refollow(now, p)
 		h.flush(now, p)
 	}
-	h.dropLeft(now)
+	h.dropLeaving(now)
 	return h.out
 }
 
-// refollowAfter is the part of the horizon after which a partition that was
-// too large is read again, and roomToFollow the part of memory then free.
 const (
-	refollowAfter = 8
-	roomToFollow  = 4
+	// refollowHorizonDivisor divides the horizon into the time after which a
+	// suspended partition is read again.
+	refollowHorizonDivisor = 8
+	// refollowFreeDivisor divides MaxKeys into the number that must be free for
+	// that.
+	refollowFreeDivisor = 4
 )
 
+// refollow resumes reading a suspended partition.
 func (h *Home) refollow(now time.Time, p *partition) {
-	if p.stage != stageFull || now.Sub(p.fullAt) < h.cfg.Horizon/refollowAfter {
+	if p.stage != stageFull || now.Sub(p.fullSince) < h.cfg.Horizon/refollowHorizonDivisor {
 		return
 	}
-	if h.Size() > h.cfg.MaxKeys-h.cfg.MaxKeys/roomToFollow {
+	if h.Size() > h.cfg.MaxKeys-h.cfg.MaxKeys/refollowFreeDivisor {
 		return
 	}
 	h.follow(p)
 }
 
-// expireBatches treats an append that was never answered as one whose answer
-// was lost.
+// expireBatches treats an append without an answer within AppendTimeout as one
+// whose answer was lost.
 func (h *Home) expireBatches(now time.Time) {
 	for len(h.batches) > 0 && now.Sub(h.batches[0].sent) >= h.cfg.AppendTimeout {
 		h.batches[0].finish(now, false)
@@ -330,19 +341,19 @@
 	}
 }
 
-func (h *Home) expireAsks(now time.Time, p *partition) {
-	for len(p.asks) > 0 && now.Sub(p.asks[0].asked) >= h.cfg.AppendTimeout {
-		a := p.asks[0]
+func (h *Home) expirePending(now time.Time, p *partition) {
+	for len(p.pending) > 0 && now.Sub(p.pending[0].requestedAt) >= h.cfg.AppendTimeout {
+		a := p.pending[0]
 		p.remove(a)
-		h.noVerdict(p, a)
+		h.refuse(p, a)
 	}
 }
 
-// dropLeft stops reading partitions of which this is the home no more. The
-// releases that were not read back are written once more, for the last time.
-func (h *Home) dropLeft(now time.Time) {
+// dropLeaving stops following the partitions that this entry no longer
+// coordinates. Releases that were not read back are appended a last time.
+func (h *Home) dropLeaving(now time.Time) {
 	h.partitions = slices.DeleteFunc(h.partitions, func(p *partition) bool {
-		busy := len(p.asks)+len(p.releases) > 0 && now.Sub(p.leftAt) < h.cfg.AppendTimeout
+		busy := len(p.pending)+len(p.releases) > 0 && now.Sub(p.leavingSince) < h.cfg.AppendTimeout
 		if !p.leaving || busy {
 			return false
 		}
@@ -357,20 +368,21 @@
 	})
 }
 
-// Size is the number of claims and releases remembered and of asks waiting.
+// Size returns the number of remembered claims and releases and of pending
+// claims and releases.
 func (h *Home) Size() int {
 	n := h.remembered()
 	for _, p := range h.partitions {
-		n += len(p.asks) + len(p.releases)
+		n += len(p.pending) + len(p.releases)
 	}
 	return n
 }
 
-// remembered is the number of claims and releases that were read.
+// remembered returns the number of claims and releases that were read.
 func (h *Home) remembered() int {
 	n := 0
 	for _, p := range h.partitions {
-		n += p.fold.size()
+		n += p.state.size()
 	}
 	return n
 }
--- a/internal/core/claims/fold.go
+++ b/internal/core/claims/fold.go
@@ -9,137 +9,142 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// fold is what the records of a partition amount to, read in log order. Any
-// two readers that have both read from a horizon back hold the same.
-type fold struct {
-	keys map[request.KeyHash]*standing
-	// notes from forgotten on are in the order of reading, and so of age.
-	notes     []note
-	forgotten int
-	// latest is the highest time noted, so that notes stay in order although
-	// ages are rounded and reading takes time.
+// state is the result of applying the records of a partition in log order. Any
+// two readers that have read all records within the horizon have equal states.
+type state struct {
+	keys map[request.KeyHash]*keyState
+	// expiries[expired:] are in the order of reading and therefore of age.
+	expiries []expiry
+	expired  int
+	// latest is the highest time in expiries. It keeps them in order although ages
+	// are rounded and reading takes time.
 	latest time.Time
 }
 
-// standing is what is known of one key.
-type standing struct {
+// keyState is the state of one key.
+type keyState struct {
 	// claims are those not released, in log order.
-	claims []held
-	// released ids; a claim of theirs that lands later counts for nothing.
-	released []held
+	claims []claimTime
+	// released are the released ids. A later claim of one of them has no effect.
+	released []claimTime
 }
 
-type held struct {
-	id    ident.RequestID
-	taken time.Time
+// claimTime is an id and when its record was appended to the log.
+type claimTime struct {
+	id       ident.RequestID
+	loggedAt time.Time
 }
 
-// note remembers what is to be forgotten, and when it was taken.
-type note struct {
-	key     request.KeyHash
-	id      ident.RequestID
-	taken   time.Time
-	release bool
+// expiry is a claim or release to expire, and when it was appended to the log.
+type expiry struct {
+	key      request.KeyHash
+	id       ident.RequestID
+	loggedAt time.Time
+	release  bool
 }
 
-func newFold() *fold { return &fold{keys: make(map[request.KeyHash]*standing)} }
+func newState() *state { return &state{keys: make(map[request.KeyHash]*keyState)} }
 
-func (f *fold) size() int { return len(f.notes) - f.forgotten }
+func (s *state) size() int { return len(s.expiries) - s.expired }
 
-// holder is the request that holds the key; empty: none.
-func (f *fold) holder(key request.KeyHash) ident.RequestID {
-	if k := f.keys[key]; k != nil && len(k.claims) > 0 {
+// holder returns the request that holds the key, or "" if none does.
+func (s *state) holder(key request.KeyHash) ident.RequestID {
+	if k := s.keys[key]; k != nil && len(k.claims) > 0 {
 		return k.claims[0].id
 	}
 	return ""
 }
 
-func (f *fold) has(c record.Claim) bool {
-	k := f.keys[c.Key]
-	return k != nil && find(k.claims, c.ID) >= 0
+func (s *state) has(c record.Claim) bool {
+	k := s.keys[c.Key]
+	return k != nil && indexOf(k.claims, c.ID) >= 0
 }
 
-func (f *fold) isReleased(c record.Claim) bool {
-	k := f.keys[c.Key]
-	return k != nil && find(k.released, c.ID) >= 0
+func (s *state) isReleased(c record.Claim) bool {
+	k := s.keys[c.Key]
+	return k != nil && indexOf(k.released, c.ID) >= 0
 }
 
-func find(list []held, id ident.RequestID) int {
-	return slices.IndexFunc(list, func(h held) bool { return h.id == id })
+func indexOf(list []claimTime, id ident.RequestID) int {
+	return slices.IndexFunc(list, func(h claimTime) bool { return h.id == id })
 }
 
-func (f *fold) at(key request.KeyHash) *standing {
-	k := f.keys[key]
+func (s *state) stateOf(key request.KeyHash) *keyState {
+	k := s.keys[key]
 	if k == nil {
-		k = &standing{}
-		f.keys[key] = k
+		k = &keyState{}
+		s.keys[key] = k
 	}
 	return k
 }
 
-func (f *fold) note(c record.Claim, taken time.Time, release bool) time.Time {
-	if taken.After(f.latest) {
-		f.latest = taken
+// scheduleExpiry adds a claim or release to expiries, and returns the time from
+// which its age is counted.
+func (s *state) scheduleExpiry(c record.Claim, loggedAt time.Time, release bool) time.Time {
+	if loggedAt.After(s.latest) {
+		s.latest = loggedAt
 	}
-	f.notes = append(f.notes, note{key: c.Key, id: c.ID, taken: f.latest, release: release})
-	return f.latest
+	s.expiries = append(s.expiries, expiry{key: c.Key, id: c.ID, loggedAt: s.latest, release: release})
+	return s.latest
 }
 
-// claim takes a claim that was read. A copy keeps its place and lives longer:
-// a reader that started between the two knows the copy only.
-func (f *fold) claim(c record.Claim, taken time.Time) {
-	k := f.at(c.Key)
-	if find(k.released, c.ID) >= 0 {
+// claim applies a claim that was read. A repeated claim keeps its position and
+// expires later, since a reader that started between the two has only the second.
+func (s *state) claim(c record.Claim, loggedAt time.Time) {
+	k := s.stateOf(c.Key)
+	if indexOf(k.released, c.ID) >= 0 {
 		return
 	}
-	taken = f.note(c, taken, false)
-	if at := find(k.claims, c.ID); at >= 0 {
-		k.claims[at].taken = taken
+	loggedAt = s.scheduleExpiry(c, loggedAt, false)
+	if at := indexOf(k.claims, c.ID); at >= 0 {
+		k.claims[at].loggedAt = loggedAt
 		return
 	}
-	k.claims = append(k.claims, held{id: c.ID, taken: taken})
+	k.claims = append(k.claims, claimTime{id: c.ID, loggedAt: loggedAt})
 }
 
-// release takes a release that was read. It is remembered, since the claim may
-// land later: nobody would then run for the key, nor release it again.
-func (f *fold) release(c record.Claim, taken time.Time) {
-	k := f.at(c.Key)
-	if at := find(k.claims, c.ID); at >= 0 {
+// release applies a release that was read. It is remembered, because the claim
+// may reach the log later. It would then hold the key without a request that runs
+// or releases it again.
+func (s *state) release(c record.Claim, loggedAt time.Time) {
+	k := s.stateOf(c.Key)
+	if at := indexOf(k.claims, c.ID); at >= 0 {
 		k.claims = slices.Delete(k.claims, at, at+1)
 	}
-	taken = f.note(c, taken, true)
-	if at := find(k.released, c.ID); at >= 0 {
-		k.released[at].taken = taken
+	loggedAt = s.scheduleExpiry(c, loggedAt, true)
+	if at := indexOf(k.released, c.ID); at >= 0 {
+		k.released[at].loggedAt = loggedAt
 		return
 	}
-	k.released = append(k.released, held{id: c.ID, taken: taken})
+	k.released = append(k.released, claimTime{id: c.ID, loggedAt: loggedAt})
 }
 
-// expire forgets what was taken before the instant.
-func (f *fold) expire(before time.Time) {
-	for f.forgotten < len(f.notes) && f.notes[f.forgotten].taken.Before(before) {
-		f.forget(f.notes[f.forgotten])
-		f.forgotten++
+// expire removes the claims and releases that were appended before the given
+// time.
+func (s *state) expire(before time.Time) {
+	for s.expired < len(s.expiries) && s.expiries[s.expired].loggedAt.Before(before) {
+		s.remove(s.expiries[s.expired])
+		s.expired++
 	}
-	if f.forgotten > len(f.notes)/2 {
-		f.notes = slices.Delete(f.notes, 0, f.forgotten)
-		f.forgotten = 0
+	if s.expired > len(s.expiries)/2 {
+		s.expiries = slices.Delete(s.expiries, 0, s.expired)
+		s.expired = 0
 	}
 }
 
-func (f *fold) forget(n note) {
-	k := f.keys[n.key]
+func (s *state) remove(e expiry) {
+	k := s.keys[e.key]
 	if k == nil {
 		return
 	}
 	list := &k.claims
-	if n.release {
+	if e.release {
 		list = &k.released
 	}
-	if at := find(*list, n.id); at >= 0 && !(*list)[at].taken.After(n.taken) {
+	if at := indexOf(*list, e.id); at >= 0 && !(*list)[at].loggedAt.After(e.loggedAt) {
 		*list = slices.Delete(*list, at, at+1)
 	}
 	if len(k.claims) == 0 && len(k.released) == 0 {
-		delete(f.keys, n.key)
+		delete(s.keys, e.key)
 	}
 }
--- a/internal/core/claims/horizon.go
+++ b/internal/core/claims/horizon.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// SetHorizon puts another horizon in force. A longer one reaches back to claims
-// that were not read or are forgotten, so every partition is read anew and
-// speaks again only when that is done; a shorter one only forgets.
+// SetHorizon changes the horizon. A longer horizon includes claims that were not
+// read or have expired here, so every partition is read again before further
+// decisions. A shorter one only expires claims earlier.
 func (h *Home) SetHorizon(now time.Time, horizon time.Duration) []Effect {
 	h.out = nil
 	longer := horizon > h.cfg.Horizon
@@ -18,7 +18,7 @@
 		if p.stage == stageFull {
 			continue
 		}
-		p.fold = newFold()
+		p.state = newState()
 		h.out = append(h.out, Unfollow{Partition: p.number})
 		h.follow(p)
 	}
--- a/internal/core/claims/invariant_test.go
+++ b/internal/core/claims/invariant_test.go
@@ -11,13 +11,13 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// owners hold each request's one decision: it runs on the first verdict that
-// names it, and is void after any other.
+// owners records the final state of each request: it runs on the first decision
+// if that names it the winner, and is voided after any other.
 type owners struct {
 	ran, void map[ident.RequestID]bool
 }
 
-func (o *owners) hear(n *node) {
+func (o *owners) collect(n *node) {
 	for _, v := range n.answers {
 		if o.ran[v.ID] || o.void[v.ID] {
 			continue
@@ -31,10 +31,11 @@
 	n.answers = nil
 }
 
-// TestOneRuns draws schedules of two homes that come and go, appends that lose
-// their answers or land late, outages, and owners that ask twice, at both
-// homes, and release with delay or never. Of one key at most one request runs.
-func TestOneRuns(t *testing.T) {
+// TestAtMostOneRequestPerKeyRuns draws schedules of two coordinators that are
+// replaced, appends that lose their answers or reach the log late, outages, and
+// owners that claim twice, at both coordinators, and release late or never. At
+// most one request runs for one key.
+func TestAtMostOneRequestPerKeyRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
 		nodes := []*node{w.node(config()), w.node(config())}
@@ -43,7 +44,7 @@
 			n := rapid.SampledFrom(nodes).Draw(t, "node")
 			id := ident.RequestID(fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "id")))
 			w.step(t, n, id, o)
-			o.hear(n)
+			o.collect(n)
 			if len(o.ran) > 1 {
 				t.Fatalf("ran twice for one key: %v", o.ran)
 			}
@@ -65,20 +66,20 @@
 		n.read()
 	case 7:
 		if o.void[id] {
-			n.giveUp(id)
+			n.release(id)
 		}
 	case 8:
-		w.lose = rapid.SampledFrom([]lose{loseNothing, loseAnswer, loseRecord, loseBoth, refuse}).Draw(t, "lose")
-		if len(w.late) > 0 {
-			w.land(w.late[0])
-			w.late = w.late[1:]
+		w.fault = rapid.SampledFrom([]appendFault{faultNone, faultAnswerLost, faultRecordLost, faultDelayed, faultRefused}).Draw(t, "lose")
+		if len(w.delayed) > 0 {
+			w.land(w.delayed[0])
+			w.delayed = w.delayed[1:]
 		}
 	case 9:
 		if rapid.Bool().Draw(t, "down") {
 			n.do(n.Down(w.now, 0))
 			return
 		}
-		// Replaced: the new process knows nothing.
+		// The coordinator is replaced by a new process without state.
 		n.Home = claims.New(config())
 		n.do(n.SetHome(w.now, []int{0}))
 	}
--- a/internal/core/claims/partition.go
+++ b/internal/core/claims/partition.go
@@ -10,104 +10,109 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// stage is how far the reading of a partition is.
+// stage is the progress of reading a partition's stream.
 type stage uint8
 
 const (
-	// stageReading: not caught up yet; asks wait.
+	// stageReading means not caught up yet. Claims wait.
 	stageReading stage = iota
 	stageReady
-	// stageDown: the stream cannot be read; asks are refused.
+	// stageDown means that the stream cannot be read. Claims are refused.
 	stageDown
-	// stageFull: given up for want of memory; asks are refused.
+	// stageFull means suspended for lack of memory. Claims are refused.
 	stageFull
 )
 
-// partition is one stream of claims.
+// partition is the state of one partition of idempotency keys.
 type partition struct {
 	number int
 	stage  stage
-	// read: it was read to its end at least once since this home follows it.
+	// read reports that the stream was read to its end at least once since this
+	// coordinator follows it.
 	read bool
-	// last offset read.
-	last int64
-	fold *fold
-	// asks wait for a verdict, in the order of asking; line holds those of one
-	// key. Only the first of a line is written: whoever comes after it is
-	// answered by what becomes of it, and costs the log nothing.
-	asks []*ask
-	line map[request.KeyHash][]*ask
-	// fresh counts the asks since the last batch.
-	fresh int
-	// releases wait to be read back.
+	// last is the last offset read.
+	last  int64
+	state *state
+	// pending are the claims that wait for a decision, in order of arrival, and
+	// byKey the same by key. Only the first claim of a key is appended: its
+	// outcome answers the others, which need no record of their own.
+	pending []*pendingClaim
+	byKey   map[request.KeyHash][]*pendingClaim
+	// sinceFlush counts the claims received since the last batch.
+	sinceFlush int
+	// releases are those not read back yet.
 	releases []*release
-	// unread are claims that were written and not read back, with the time:
-	// each may still land.
-	unread map[record.Claim]time.Time
-	// leaving: home no more since leftAt. fullAt: when stageFull began.
-	leaving bool
-	leftAt  time.Time
-	fullAt  time.Time
+	// unconfirmed are the claims that were appended and not read back, with the
+	// time of the append: each may still reach the log.
+	unconfirmed map[record.Claim]time.Time
+	// leaving reports that another entry coordinates the partition since
+	// leavingSince.
+	leaving      bool
+	leavingSince time.Time
+	// fullSince is when stageFull began.
+	fullSince time.Time
 }
 
 func newPartition(number int) *partition {
 	return &partition{
-		number: number,
-		fold:   newFold(),
-		line:   make(map[request.KeyHash][]*ask),
-		unread: make(map[record.Claim]time.Time),
+		number:      number,
+		state:       newState(),
+		byKey:       make(map[request.KeyHash][]*pendingClaim),
+		unconfirmed: make(map[record.Claim]time.Time),
 	}
 }
 
-// writing is how far the writing of one claim or release is.
-type writing uint8
+// writeState is the progress of appending one claim or release.
+type writeState uint8
 
 const (
-	// writingDue: to be put into the next batch.
-	writingDue writing = iota
-	// writingSent: in a batch that was not answered.
-	writingSent
-	// writingEnded: answered, or given up; the reading tells what became of it.
-	writingEnded
+	// writeDue means that it goes into the next batch.
+	writeDue writeState = iota
+	// writeSent means that it is in a batch whose append has not been answered.
+	writeSent
+	// writeEnded means that the append was answered or timed out. Reading the
+	// stream shows whether it took effect.
+	writeEnded
 )
 
-// write follows one claim or release to the log.
+// write tracks the append of one claim or release to the log.
 type write struct {
-	writing writing
-	// ended is when the append was answered.
-	ended time.Time
+	state writeState
+	// endedAt is when the append was answered.
+	endedAt time.Time
 }
 
 func (w *write) finish(now time.Time, failed bool) {
-	if w.writing != writingSent {
+	if w.state != writeSent {
 		return
 	}
-	w.writing, w.ended = writingEnded, now
+	w.state, w.endedAt = writeEnded, now
 	if failed {
-		w.writing = writingDue
+		w.state = writeDue
 	}
 }
 
-// again makes a write due that a reading begun after its end did not show.
-func (w *write) again(since time.Time) {
-	if w.writing == writingEnded && since.After(w.ended) {
-		w.writing = writingDue
+// retryUnlessRead makes a write due again if a read begun at since, after the end
+// of its append, did not return it.
+func (w *write) retryUnlessRead(since time.Time) {
+	if w.state == writeEnded && since.After(w.endedAt) {
+		w.state = writeDue
 	}
 }
 
-// ask is a claim that waits for its verdict.
-type ask struct {
+// pendingClaim is a claim that waits for its decision.
+type pendingClaim struct {
 	write
-	claim record.Claim
-	to    ident.Incarnation
-	asked time.Time
+	claim       record.Claim
+	to          ident.Incarnation
+	requestedAt time.Time
 }
 
-// release waits to be read back.
+// release is a release that has not been read back.
 type release struct {
 	write
-	claim record.Claim
-	asked time.Time
+	claim       record.Claim
+	requestedAt time.Time
 }
 
 func claimsOf(releases []*release) []record.Claim {
@@ -118,8 +123,8 @@
 	return out
 }
 
-func (p *partition) waiting(c record.Claim) *ask {
-	for _, a := range p.line[c.Key] {
+func (p *partition) findPending(c record.Claim) *pendingClaim {
+	for _, a := range p.byKey[c.Key] {
 		if a.claim == c {
 			return a
 		}
@@ -127,48 +132,48 @@
 	return nil
 }
 
-func (p *partition) enqueue(a *ask) {
-	p.fresh++
-	p.asks = append(p.asks, a)
-	p.line[a.claim.Key] = append(p.line[a.claim.Key], a)
+func (p *partition) enqueue(a *pendingClaim) {
+	p.sinceFlush++
+	p.pending = append(p.pending, a)
+	p.byKey[a.claim.Key] = append(p.byKey[a.claim.Key], a)
 }
 
-func (p *partition) remove(a *ask) {
-	p.asks = without(p.asks, a)
-	line := without(p.line[a.claim.Key], a)
-	if len(line) == 0 {
-		delete(p.line, a.claim.Key)
+func (p *partition) remove(a *pendingClaim) {
+	p.pending = without(p.pending, a)
+	waiting := without(p.byKey[a.claim.Key], a)
+	if len(waiting) == 0 {
+		delete(p.byKey, a.claim.Key)
 		return
 	}
-	p.line[a.claim.Key] = line
+	p.byKey[a.claim.Key] = waiting
 }
 
-func without(list []*ask, a *ask) []*ask {
+func without(list []*pendingClaim, a *pendingClaim) []*pendingClaim {
 	if at := slices.Index(list, a); at >= 0 {
 		return slices.Delete(list, at, at+1)
 	}
 	return list
 }
 
-// releaseNeeded is false where the release would change nothing: it was read
-// already, it waits already, or another request holds the key and the claim
-// was never written here.
+// releaseNeeded reports whether a release has an effect. It has none if it was
+// read or is pending already, or if another request holds the key and the claim
+// was never appended here.
 func (p *partition) releaseNeeded(c record.Claim) bool {
-	if p.fold.isReleased(c) || slices.ContainsFunc(p.releases, func(r *release) bool { return r.claim == c }) {
+	if p.state.isReleased(c) || slices.ContainsFunc(p.releases, func(r *release) bool { return r.claim == c }) {
 		return false
 	}
-	_, unread := p.unread[c]
-	if unread || p.stage != stageReady || p.fold.has(c) {
+	_, unconfirmed := p.unconfirmed[c]
+	if unconfirmed || p.stage != stageReady || p.state.has(c) {
 		return true
 	}
-	return p.fold.holder(c.Key) == ""
+	return p.state.holder(c.Key) == ""
 }
 
-// released notes that a release was read back.
-func (p *partition) released(c record.Claim) {
+// confirmRelease removes a release that was read back.
+func (p *partition) confirmRelease(c record.Claim) {
 	p.releases = slices.DeleteFunc(p.releases, func(r *release) bool { return r.claim == c })
 }
 
-func (p *partition) forgetUnread(before time.Time) {
-	maps.DeleteFunc(p.unread, func(_ record.Claim, sent time.Time) bool { return sent.Before(before) })
+func (p *partition) expireUnconfirmed(before time.Time) {
+	maps.DeleteFunc(p.unconfirmed, func(_ record.Claim, sent time.Time) bool { return sent.Before(before) })
 }
--- a/internal/core/claims/world_test.go
+++ b/internal/core/claims/world_test.go
@@ -20,48 +20,48 @@
 	return claims.Config{Partitions: 1, Horizon: horizon, BatchEvery: 50 * time.Millisecond, MaxBatch: 64, MaxKeys: 1000, AppendTimeout: timeout}
 }
 
-// world is one partition's stream and the homes that read it.
+// world is one partition's stream and the state that its coordinators share.
 type world struct {
-	now   time.Time
-	log   []record.Record
-	taken []time.Time
-	// lose says what becomes of the next appends.
-	lose lose
-	// late are appends that have not landed yet.
-	late []record.Record
-	down bool
+	now      time.Time
+	log      []record.Record
+	loggedAt []time.Time
+	// fault applies to the next appends.
+	fault appendFault
+	// delayed are appends that have not reached the log yet.
+	delayed []record.Record
+	down    bool
 }
 
-type lose uint8
+type appendFault uint8
 
 const (
-	// loseNothing: appends land and are answered.
-	loseNothing lose = iota
-	// loseAnswer: they land, and nobody learns of it.
-	loseAnswer
-	// loseRecord: they do not land, and nobody learns of it.
-	loseRecord
-	// loseBoth: they land later, and nobody learns of it.
-	loseBoth
-	// refuse: the log says no.
-	refuse
+	// faultNone means that appends reach the log and are answered.
+	faultNone appendFault = iota
+	// faultAnswerLost means that they reach the log, and the answer is lost.
+	faultAnswerLost
+	// faultRecordLost means that both the record and the answer are lost.
+	faultRecordLost
+	// faultDelayed means that they reach the log later, and the answer is lost.
+	faultDelayed
+	// faultRefused means that the log rejects them.
+	faultRefused
 )
 
 func newWorld() *world { return &world{now: time.Unix(1_000_000, 0)} }
 
 func (w *world) land(rec record.Record) {
 	w.log = append(w.log, rec)
-	w.taken = append(w.taken, w.now)
+	w.loggedAt = append(w.loggedAt, w.now)
 }
 
-// node is one home.
+// node is one coordinator.
 type node struct {
 	*claims.Home
-	w       *world
-	reads   bool
-	next    int
-	answers []claims.Verdict
-	appends int
+	w         *world
+	following bool
+	next      int
+	answers   []claims.Verdict
+	appends   int
 }
 
 func (w *world) node(cfg claims.Config) *node {
@@ -74,9 +74,9 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case claims.Follow:
-			n.reads, n.next = true, 0
+			n.following, n.next = true, 0
 		case claims.Unfollow:
-			n.reads = false
+			n.following = false
 		case claims.Verdict:
 			n.answers = append(n.answers, e)
 		case claims.Append:
@@ -87,31 +87,31 @@
 
 func (n *node) append(e claims.Append) {
 	n.appends++
-	switch n.w.lose {
-	case loseNothing:
+	switch n.w.fault {
+	case faultNone:
 		n.w.land(e.Record)
 		n.do(n.Appended(n.w.now, e.Tag, int64(len(n.w.log)), false))
-	case loseAnswer:
+	case faultAnswerLost:
 		n.w.land(e.Record)
 		n.do(n.Appended(n.w.now, e.Tag, -1, false))
-	case loseRecord:
+	case faultRecordLost:
 		n.do(n.Appended(n.w.now, e.Tag, -1, false))
-	case loseBoth:
-		n.w.late = append(n.w.late, e.Record)
+	case faultDelayed:
+		n.w.delayed = append(n.w.delayed, e.Record)
 		n.do(n.Appended(n.w.now, e.Tag, -1, false))
-	case refuse:
+	case faultRefused:
 		n.do(n.Appended(n.w.now, e.Tag, -1, true))
 	}
 }
 
-// read delivers the log to its end.
+// read delivers all records of the log that were not delivered yet.
 func (n *node) read() {
-	if n.w.down || !n.reads {
+	if n.w.down || !n.following {
 		return
 	}
 	since := n.w.now
 	for ; n.next < len(n.w.log); n.next++ {
-		age := n.w.now.Sub(n.w.taken[n.next])
+		age := n.w.now.Sub(n.w.loggedAt[n.next])
 		if age <= horizon {
 			n.do(n.Record(n.w.now, 0, int64(n.next+1), age, n.w.log[n.next]))
 		}
@@ -119,8 +119,8 @@
 	n.do(n.CaughtUp(n.w.now, 0, since))
 }
 
-// pass lets time pass in steps and has the nodes read.
-func (w *world) pass(d time.Duration, nodes ...*node) {
+// advance advances the time by d in steps, at which the nodes tick and read.
+func (w *world) advance(d time.Duration, nodes ...*node) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(20 * time.Millisecond)
 		for _, n := range nodes {
@@ -131,11 +131,11 @@
 }
 
 func (n *node) ask(id ident.RequestID) { n.do(n.Ask(n.w.now, "owner", key, id)) }
-func (n *node) giveUp(id ident.RequestID) {
+func (n *node) release(id ident.RequestID) {
 	n.do(n.Release(n.w.now, key, id))
 }
 
-// winners lists the answers as "id>winner".
+// winners returns the answers since its last call, each as "id>winner".
 func (n *node) winners() []string {
 	var out []string
 	for _, v := range n.answers {
