--- a/internal/core/owner/epoch.go
+++ b/internal/core/owner/epoch.go
@@ -9,25 +9,26 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// graceParts: ids are taken for Period/graceParts beyond the time for which
-// their prefix was said to be good, since the receiver counts from when the
-// answer reached it, and the edges hand out a view that lags the core.
-const graceParts = 4
+// graceDivisor divides Period into a grace time, for which ids are admitted after
+// the announced validity of their prefix. It covers receivers, which count the
+// validity from when the answer arrived, and edges, whose view lags the core.
+const graceDivisor = 4
 
-// record is what is remembered of one id. Kept small: one for each request.
+// record is the state of one id. It is kept small since there is one for each
+// request.
 type record struct {
-	standing message.Standing
-	// voidedIn is the epoch in which the id was given up.
+	state message.Standing
+	// voidedIn is the epoch in which the id was voided.
 	voidedIn uint32
-	// tag tells the organisation that brought the id; 0: not known.
+	// tag identifies the organisation that sent the id; 0 if unknown.
 	tag uint32
-	// where is the target; for StandingVoided the delegate.
-	where string
-	// status is set once finished.
+	// location is the target, or for IDVoided the delegate.
+	location string
+	// status is set when the request has finished.
 	status *outcome.Status
 }
 
-func (r *record) final() outcome.Status {
+func (r *record) finalStatus() outcome.Status {
 	if r.status == nil {
 		return outcome.Status{}
 	}
@@ -35,67 +36,67 @@
 }
 
 func (r *record) admission() Admission {
-	if r.standing == message.StandingVoided {
+	if r.state == message.StandingVoided {
 		return Admission{
 			Kind:     KindVoided,
 			Standing: message.StandingElsewhere,
-			Delegate: ident.Incarnation(r.where),
+			Delegate: ident.Incarnation(r.location),
 		}
 	}
-	return Admission{Kind: KindKnown, Standing: r.standing, Status: r.final(), Target: r.where}
+	return Admission{Kind: KindKnown, Standing: r.state, Status: r.finalStatus(), Target: r.location}
 }
 
-// epoch holds the ids formed with one prefix, and the ids adopted while that
-// prefix was handed out.
+// epoch holds the ids with one prefix, and the ids adopted while that prefix was
+// handed out.
 type epoch struct {
 	number uint32
-	// closes: from then on the next prefix is handed out.
-	closes time.Time
-	// usable: from then on an id that was never seen is not admitted.
-	usable time.Time
-	// forget: from then on all its ids are expired.
-	forget  time.Time
-	own     map[string]*record
-	adopted map[ident.RequestID]*record
-	refused filter
+	// closesAt is when the next prefix begins to be handed out.
+	closesAt time.Time
+	// admitUntil is when ids that are not known stop being admitted.
+	admitUntil time.Time
+	// forgetAt is when all ids of the epoch expire.
+	forgetAt time.Time
+	own      map[string]*record
+	adopted  map[ident.RequestID]*record
+	refused  filter
 }
 
-func (e *epoch) extend(longest time.Duration) {
-	if until := e.usable.Add(longest); until.After(e.forget) {
-		e.forget = until
+func (e *epoch) extend(maxDeadline time.Duration) {
+	if until := e.admitUntil.Add(maxDeadline); until.After(e.forgetAt) {
+		e.forgetAt = until
 	}
 }
 
-// empty: nothing is remembered of the epoch's ids, nor was one refused.
+// empty reports whether the epoch has no ids and none was refused.
 func (e *epoch) empty() bool { return len(e.own)+len(e.adopted) == 0 && e.refused.bits == nil }
 
 func (t *Table) current() *epoch { return t.epochs[len(t.epochs)-1] }
 
-// open begins an epoch. A prefix handed out at its very end is good for one
-// more period, hence two, and the grace.
+// open begins an epoch. A prefix handed out at its very end is valid for one more
+// period, so ids are admitted for two periods and the grace time.
 func (t *Table) open(begins time.Time, number uint32) {
-	if len(t.epochs) > 0 && t.current().closes.After(begins) {
-		t.current().closes = begins
+	if len(t.epochs) > 0 && t.current().closesAt.After(begins) {
+		t.current().closesAt = begins
 	}
 	e := &epoch{
-		number:  number,
-		closes:  begins.Add(t.cfg.Period),
-		usable:  begins.Add(2*t.cfg.Period + t.cfg.Period/graceParts),
-		own:     make(map[string]*record),
-		adopted: make(map[ident.RequestID]*record),
+		number:     number,
+		closesAt:   begins.Add(t.cfg.Period),
+		admitUntil: begins.Add(2*t.cfg.Period + t.cfg.Period/graceDivisor),
+		own:        make(map[string]*record),
+		adopted:    make(map[ident.RequestID]*record),
 	}
 	e.extend(t.cfg.Longest)
 	t.epochs = append(t.epochs, e)
 }
 
-// advance opens the epoch of now and drops those that are past. A process that
-// was paused skips the epochs in which it handed out nothing.
+// advance opens the epoch of now and drops the expired ones. A process that was
+// paused skips the epochs in which it handed out no prefix.
 func (t *Table) advance(now time.Time) {
-	if last := t.current(); !now.Before(last.closes) && t.cfg.Period > 0 {
-		passed := now.Sub(last.closes) / t.cfg.Period
-		t.open(last.closes.Add(passed*t.cfg.Period), last.number+1+uint32(passed))
+	if last := t.current(); !now.Before(last.closesAt) && t.cfg.Period > 0 {
+		passed := now.Sub(last.closesAt) / t.cfg.Period
+		t.open(last.closesAt.Add(passed*t.cfg.Period), last.number+1+uint32(passed))
 	}
-	for len(t.epochs) > 1 && !now.Before(t.epochs[0].forget) {
+	for len(t.epochs) > 1 && !now.Before(t.epochs[0].forgetAt) {
 		t.count -= len(t.epochs[0].own) + len(t.epochs[0].adopted)
 		t.epochs[0] = nil
 		t.epochs = t.epochs[1:]
@@ -126,16 +127,16 @@
 	return nil
 }
 
-// check tells whether an own id that is not remembered may be remembered now.
+// check reports whether an own id that is not remembered may be added now.
 func (t *Table) check(now time.Time, id ident.RequestID, parts ident.Parts) (*epoch, Kind, error) {
 	if parts.Epoch > t.current().number {
 		return nil, KindMalformed, fmt.Errorf("%w: epoch %d was not handed out yet", ident.ErrMalformed, parts.Epoch)
 	}
 	e := t.epoch(parts.Epoch)
 	switch {
-	case e == nil || !now.Before(e.forget):
+	case e == nil || !now.Before(e.forgetAt):
 		return nil, KindExpired, nil
-	case !now.Before(e.usable):
+	case !now.Before(e.admitUntil):
 		return nil, KindLate, nil
 	case e.refused.has(string(id)) || t.count >= t.cfg.Max:
 		return e, KindFull, nil
@@ -143,8 +144,9 @@
 	return e, KindNew, nil
 }
 
-// place is check, and notes a refusal for want of memory for good.
-func (t *Table) place(now time.Time, id ident.RequestID, parts ident.Parts) (*epoch, Kind, error) {
+// checkAndRecord does the same as check, and records a refusal for lack of memory
+// permanently.
+func (t *Table) checkAndRecord(now time.Time, id ident.RequestID, parts ident.Parts) (*epoch, Kind, error) {
 	e, kind, err := t.check(now, id, parts)
 	if kind == KindFull {
 		e.refused.add(string(id))
@@ -161,8 +163,9 @@
 	return false
 }
 
-// share lets all finished requests of the usual status point to one copy.
-func (t *Table) share(status outcome.Status) *outcome.Status {
+// shareStatus returns a copy of status that consecutive finished requests with
+// the same status share, to save memory.
+func (t *Table) shareStatus(status outcome.Status) *outcome.Status {
 	if t.lastStatus != nil && *t.lastStatus == status {
 		return t.lastStatus
 	}
--- a/internal/core/owner/filter.go
+++ b/internal/core/owner/filter.go
@@ -5,11 +5,11 @@
 // filter is a Bloom filter of the ids of one epoch that were refused "not run"
 // because the table was full.
 //
-// Failure: a caller sends an id twice, the second copy overtakes the first and
-// is refused "not run" for want of memory; the first copy arrives when there is
-// room again and runs. Symptom: a refusal that was not true. The filter keeps
-// the refusal in force in fixed memory. A false match only refuses a request
-// that has not run, which is safe.
+// Without it, a refusal could be false: a caller sends an id twice, the second
+// copy overtakes the first and is refused as "not run" for lack of memory, then
+// the first copy arrives when there is memory again, and runs. The filter
+// remembers the refusals in a fixed amount of memory. A false positive only
+// refuses a request that has not run, which is safe.
 type filter struct {
 	bits []uint64
 }
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -1,17 +1,15 @@
-// Package owner remembers what became of the request ids that this incarnation
-// owns, so that each is dispatched at most once.
+// Package owner keeps the state of the request ids that this incarnation owns,
+// so that each request is dispatched at most once.
 //
 // Invariants:
 //
 //   - An id is New at most once in the whole system: only the incarnation that
-//     it names admits it, or the one delegate to which that owner gave it up.
-//   - Nothing is forgotten while its id could still be admitted: ids are kept by
+//     it names admits it, or the one delegate to which that owner transferred it.
+//   - No record is dropped while its id could still be admitted: ids are kept by
 //     epoch, and an epoch is dropped as a whole once its ids are Expired.
-//   - An id that was refused for want of memory stays refused: see filter.
-//   - Dispatched returns true once for an id, unless Undispatched proved that
-//     the target did not take it.
-//
-// The table is not safe for concurrent use.
+//   - An id that was refused for lack of memory stays refused: see filter.
+//   - RecordDispatch returns true once for an id, unless RevertDispatch recorded
+//     that the target provably did not accept it.
 package owner
 
 import (
@@ -24,107 +22,111 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// Config sets the table's times and its size.
+// Config configures a Table.
 type Config struct {
 	Self ident.Incarnation
-	// Period is how long one prefix is handed out, and how long each answer
-	// that carries it is good.
+	// Period is how long one prefix is handed out, and how long it is valid in
+	// each answer that contains it.
 	Period time.Duration
-	// Longest is the longest deadline that a request may have.
+	// MaxDeadline is the longest deadline that a request may have.
 	Longest time.Duration
-	// Max bounds the remembered ids.
+	// MaxIDs bounds the remembered ids.
 	Max int
-	// Validity bounds how long an input may wait for the core; see Overdue.
+	// Validity is how long an input may wait for the core; see Overdue.
 	Validity time.Duration
 }
 
-// Kind says what Admit found.
+// Kind is the kind of an Admission.
 type Kind uint8
 
 const (
-	// KindNew: first seen now, remembered as waiting; this entry may run it.
+	// KindNew means first received now and recorded as waiting. This entry may
+	// run the request.
 	KindNew Kind = iota
-	// KindKnown: seen before; Standing, Status and Target tell what became of it.
+	// KindKnown means received before. State, Status and Target describe it.
 	KindKnown
-	// KindForeign: Owner must be asked.
+	// KindRemote means that another entry owns the id. Owner must be queried.
 	KindForeign
-	// KindExpired: too old to be remembered; the outcome is unknown.
+	// KindExpired means too old to be remembered. The outcome is unknown.
 	KindExpired
-	// KindLate: never seen, and its prefix is no longer good. It did not run and
-	// never will: refused "not run".
+	// KindPrefixExpired means never received, with a prefix that is no longer
+	// valid. The request did not run and never will, so it is refused as "not run".
 	KindLate
-	// KindFull: no memory for it. It did not run and never will: refused "not run".
+	// KindFull means that there is no memory for the id. The request did not run
+	// and never will, so it is refused as "not run".
 	KindFull
-	// KindMalformed: not an id that an entry can have handed out; see Err.
+	// KindMalformed means that no entry can have handed out the id; see Err.
 	KindMalformed
-	// KindVoided: given up to Delegate earlier, which must be asked.
+	// KindVoided means transferred earlier to Delegate, which must be queried.
 	KindVoided
 )
 
-// Admission is the answer of Admit.
+// Admission is the result of Admit and State.
 type Admission struct {
 	Kind     Kind
 	Standing message.Standing
 	Status   outcome.Status
-	// Target at which it runs or ran.
+	// Target is where the request runs or ran.
 	Target string
-	// Owner to ask if Foreign, Delegate to ask if Voided.
+	// Owner is set for KindRemote, Delegate for KindVoided.
 	Owner    ident.Incarnation
 	Delegate ident.Incarnation
 	Err      error
 }
 
-// Table holds the ids. Own ids are kept by epoch and suffix, adopted ones whole.
+// Table holds the state of ids. Own ids are kept by epoch and suffix, adopted ones
+// by the full id. It is not safe for concurrent use.
 type Table struct {
 	cfg    Config
 	epochs []*epoch // oldest first; the last is the one being handed out
 	count  int
-	// lastStatus is the last final status, shared by the records that have it.
+	// lastStatus is the last final status; see shareStatus.
 	lastStatus *outcome.Status
 }
 
-// New starts a table at the beginning of epoch 0.
+// New returns a table at the beginning of epoch 0.
 func New(cfg Config, now time.Time) *Table {
 	t := &Table{cfg: cfg}
 	t.open(now, 0)
 	return t
 }
 
-// Configure puts new settings in force. A new period starts a new epoch. What
-// is remembered already is never forgotten earlier than was promised for it.
-func (t *Table) Configure(now time.Time, period, longest time.Duration, limit int) {
+// Configure applies new settings. A new period starts a new epoch. Ids that are
+// remembered already never expire earlier than before.
+func (t *Table) Configure(now time.Time, period, maxDeadline time.Duration, limit int) {
 	t.advance(now)
 	renewed := period != t.cfg.Period
-	t.cfg.Period, t.cfg.Longest, t.cfg.Max = period, longest, limit
+	t.cfg.Period, t.cfg.Longest, t.cfg.Max = period, maxDeadline, limit
 	for _, e := range t.epochs {
 		if e.empty() {
-			// An entry that starts knows no longest deadline yet. Kept for that of
-			// the start, its first epoch would keep all later ones in memory.
-			e.forget = e.usable
+			// A starting entry does not have the longest deadline of the document
+			// yet. If its first epoch were kept for the initial value, it would keep
+			// all later epochs in memory.
+			e.forgetAt = e.admitUntil
 		}
-		e.extend(longest)
+		e.extend(maxDeadline)
 	}
 	if renewed {
 		t.open(now, t.current().number+1)
 	}
 }
 
-// Prefix returns the prefix for new ids and how long an answer that carries it
-// is good, counted by its receiver.
+// Prefix returns the prefix for new ids and its validity, which begins when the
+// answer that contains it is received.
 func (t *Table) Prefix(now time.Time) (ident.Prefix, time.Duration) {
 	t.advance(now)
 	return ident.PrefixFor(t.cfg.Self, t.current().number), t.cfg.Period
 }
 
-// Overdue reports whether an input that arrived at an edge at arrived waited so
-// long that its process must have been paused. Its caller may have given up
-// long ago, so the request is finished as refused with process_was_paused.
+// Overdue reports whether an input that reached an edge at arrived has waited so
+// long that the process must have been paused. Its caller may have given up long
+// ago, so the request is finished as refused with process_was_paused.
 func (t *Table) Overdue(now, arrived time.Time) bool {
 	return t.cfg.Validity > 0 && now.Sub(arrived) > t.cfg.Validity
 }
 
-// Admit decides about a request that a caller brought. If the answer is New the
-// id is remembered as waiting.
+// Admit decides whether a request received from a caller is admitted. If the
+// result is KindNew, the id is recorded as waiting.
 func (t *Table) Admit(now time.Time, id ident.RequestID) Admission {
 	t.advance(now)
 	parts, err := ident.Parse(id)
@@ -140,18 +142,18 @@
 		}
 		return Admission{Kind: KindForeign, Owner: parts.Owner}
 	}
-	e, kind, err := t.place(now, id, parts)
+	e, kind, err := t.checkAndRecord(now, id, parts)
 	if kind != KindNew {
 		return Admission{Kind: kind, Err: err}
 	}
-	e.own[strings.Clone(parts.Suffix)] = &record{standing: message.StandingWaiting}
+	e.own[strings.Clone(parts.Suffix)] = &record{state: message.StandingWaiting}
 	t.count++
 	return Admission{Kind: KindNew, Standing: message.StandingWaiting}
 }
 
-// Adopt makes this incarnation the owner of an id that its owner voided in our
-// favour. False: it is known already (see Standing), or there is no memory for
-// it and it must be refused "not run".
+// Adopt makes this incarnation the owner of an id that its owner voided in its
+// favour. It returns false if the id is known already (see State), or if there
+// is no memory for it and the request must be refused as "not run".
 func (t *Table) Adopt(now time.Time, id ident.RequestID) bool {
 	t.advance(now)
 	e := t.current()
@@ -163,13 +165,13 @@
 		e.refused.add(string(id))
 		return false
 	}
-	e.adopted[ident.RequestID(strings.Clone(string(id)))] = &record{standing: message.StandingWaiting}
+	e.adopted[ident.RequestID(strings.Clone(string(id)))] = &record{state: message.StandingWaiting}
 	t.count++
 	return true
 }
 
-// Ask answers a peer that got a request with this id. An id never seen here is
-// voided in favour of the asker, for good.
+// Query answers a peer that received a request with this id. An id that was never
+// received here is voided permanently in favour of the requester.
 func (t *Table) Ask(now time.Time, asker ident.Incarnation, id ident.RequestID) message.OwnerReply {
 	t.advance(now)
 	reply := message.OwnerReply{ID: id, Standing: message.StandingExpired}
@@ -183,7 +185,7 @@
 	if parts.Owner != t.cfg.Self {
 		return reply
 	}
-	e, kind, _ := t.place(now, id, parts)
+	e, kind, _ := t.checkAndRecord(now, id, parts)
 	switch kind {
 	case KindFull:
 		reply.Standing = message.StandingFinished
@@ -193,8 +195,8 @@
 		reply.Status = outcome.Refused(outcome.ReasonIDExpired, 0, "the id prefix is no longer good")
 	case KindNew:
 		e.own[strings.Clone(parts.Suffix)] = &record{
-			standing: message.StandingVoided,
-			where:    string(asker),
+			state:    message.StandingVoided,
+			location: string(asker),
 			voidedIn: t.current().number,
 		}
 		t.count++
@@ -203,62 +205,62 @@
 	return reply
 }
 
-// replyOf tells a peer the standing of a known id. The delegate that asks again,
-// because the first reply was lost, is told again that it is the delegate, but
-// only within the epoch of the voiding: a delegate remembers an adopted id for
-// longer than that, so it can't adopt the id a second time after forgetting it.
+// replyOf reports the state of a known id to a peer. If the delegate repeats its
+// request, because the first reply was lost, it gets the same reply, but only
+// within the epoch of the voiding. A delegate remembers an adopted id for longer
+// than that, so it cannot adopt the id a second time after dropping it.
 func (t *Table) replyOf(r *record, asker ident.Incarnation, reply message.OwnerReply) message.OwnerReply {
-	if r.standing != message.StandingVoided {
-		reply.Standing, reply.Target = r.standing, r.where
-		reply.Status = r.final()
+	if r.state != message.StandingVoided {
+		reply.Standing, reply.Target = r.state, r.location
+		reply.Status = r.finalStatus()
 		return reply
 	}
-	if ident.Incarnation(r.where) == asker && r.voidedIn == t.current().number {
+	if ident.Incarnation(r.location) == asker && r.voidedIn == t.current().number {
 		reply.Standing = message.StandingVoided
 		return reply
 	}
 	reply.Standing = message.StandingElsewhere
-	reply.Delegate = ident.Incarnation(r.where)
+	reply.Delegate = ident.Incarnation(r.location)
 	return reply
 }
 
-// Dispatched records that a dispatch to target is about to leave and reports
-// whether it may. It is the one guard of "dispatched at most once": no code may
-// put a dispatch out without asking it. An id that is voided, running, finished,
-// expired or unknown here is not waiting, so all of these say no.
+// RecordDispatch records a dispatch to target before it is sent, and reports whether
+// it is allowed. It is the only guard of "dispatched at most once": it must be
+// called before every dispatch. It returns false for an id that is not waiting:
+// voided, running, finished, expired or unknown here.
 func (t *Table) Dispatched(now time.Time, id ident.RequestID, target string) bool {
 	r := t.lookup(now, id)
-	if r == nil || r.standing != message.StandingWaiting {
+	if r == nil || r.state != message.StandingWaiting {
 		return false
 	}
-	r.standing, r.where = message.StandingRunning, target
+	r.state, r.location = message.StandingRunning, target
 	return true
 }
 
-// Undispatched takes a dispatch back that the target provably did not take.
+// RevertDispatch reverts a dispatch that the target provably did not accept.
 func (t *Table) Undispatched(now time.Time, id ident.RequestID) bool {
 	r := t.lookup(now, id)
-	if r == nil || r.standing != message.StandingRunning {
+	if r == nil || r.state != message.StandingRunning {
 		return false
 	}
-	r.standing, r.where = message.StandingWaiting, ""
+	r.state, r.location = message.StandingWaiting, ""
 	return true
 }
 
-// Finish records the final status. The first one stands; false says that there
-// was one already, or that the id is not owned here.
+// Finish records the final status. Only the first one is kept: Finish returns
+// false if there was one already, or if the id is not owned here.
 func (t *Table) Finish(now time.Time, id ident.RequestID, status outcome.Status) bool {
 	r := t.lookup(now, id)
-	if r == nil || (r.standing != message.StandingWaiting && r.standing != message.StandingRunning) {
+	if r == nil || (r.state != message.StandingWaiting && r.state != message.StandingRunning) {
 		return false
 	}
-	r.standing = message.StandingFinished
-	r.status = t.share(status)
+	r.state = message.StandingFinished
+	r.status = t.shareStatus(status)
 	return true
 }
 
-// Standing tells what is remembered of an id. Nothing remembered of an own id:
-// Late, Full or Expired as Admit would say, and nothing is recorded.
+// State returns the state of an id. For an own id that is not remembered, the
+// result is the one that Admit would return, but nothing is recorded.
 func (t *Table) Standing(now time.Time, id ident.RequestID) Admission {
 	t.advance(now)
 	parts, err := ident.Parse(id)
@@ -275,10 +277,11 @@
 	return Admission{Kind: kind, Err: err}
 }
 
-// Expire drops the epochs whose ids are expired; its cost is their number.
+// Expire drops the epochs whose ids have expired. Its cost grows with their
+// number.
 func (t *Table) Expire(now time.Time) { t.advance(now) }
 
-// Len is the number of remembered ids.
+// Len returns the number of remembered ids.
 func (t *Table) Len() int { return t.count }
 
 func (t *Table) lookup(now time.Time, id ident.RequestID) *record {
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -36,8 +36,9 @@
 	id := ident.PrefixFor(a, 0).ID("one")
 	refusal := outcome.Refused(outcome.ReasonOverload, time.Second, "")
 
-	// usable: 2 periods and a quarter = 45 s; forgotten: 60 s later = 105 s.
-	DescribeTable("first sight of an id by its epoch and age",
+	// Ids are admitted for 2 periods and a quarter (45 s), and expire 60 s later
+	// (105 s).
+	DescribeTable("decides on an unknown id by its epoch and age",
 		func(now time.Duration, id ident.RequestID, want owner.Kind) {
 			t := table(a, 10)
 			Expect(t.Standing(at(now), id).Kind).To(Equal(want))
@@ -45,16 +46,16 @@
 		},
 		Entry("at once", time.Duration(0), id, owner.KindNew),
 		Entry("handed out last in its epoch, used last", 39*time.Second, id, owner.KindNew),
-		Entry("within the grace", 44*time.Second, id, owner.KindNew),
-		Entry("after the grace", 45*time.Second, id, owner.KindLate),
+		Entry("within the grace time", 44*time.Second, id, owner.KindNew),
+		Entry("after the grace time", 45*time.Second, id, owner.KindLate),
 		Entry("after the longest deadline", 105*time.Second, id, owner.KindExpired),
 		Entry("of a prefix not handed out yet", time.Duration(0), ident.PrefixFor(a, 1).ID("x"), owner.KindMalformed),
 		Entry("of an epoch skipped by a pause", 10*time.Minute, ident.PrefixFor(a, 5).ID("x"), owner.KindExpired),
-		Entry("of another", time.Duration(0), ident.PrefixFor(b, 9).ID("x"), owner.KindForeign),
+		Entry("of another owner", time.Duration(0), ident.PrefixFor(b, 9).ID("x"), owner.KindForeign),
 		Entry("without an owner", time.Duration(0), ident.RequestID("x"), owner.KindMalformed),
 	)
 
-	It("gives each re-send the same standing", func() {
+	It("returns the current state for each repeated request", func() {
 		t := table(a, 10)
 		Expect(t.Admit(start, id).Kind).To(Equal(owner.KindNew))
 		Expect(t.Admit(start, id).Standing).To(Equal(message.StandingWaiting))
@@ -67,7 +68,7 @@
 		Expect(t.Len()).To(BeZero())
 	})
 
-	It("dispatches again only after the target provably did not take it", func() {
+	It("dispatches again only if the target provably did not accept the request", func() {
 		t := table(a, 10)
 		Expect(t.Dispatched(start, id, "t1")).To(BeFalse(), "not admitted")
 		t.Admit(start, id)
@@ -80,7 +81,7 @@
 		Expect(t.Dispatched(start, id, "t3")).To(BeFalse())
 	})
 
-	It("keeps what was promised when settings change", func() {
+	It("keeps the expiry of remembered ids when settings change", func() {
 		t := table(a, 10)
 		t.Admit(start, id)
 		t.Configure(at(time.Second), time.Second, time.Second, 10)
@@ -89,11 +90,12 @@
 		Expect(t.Admit(at(104*time.Second), id).Kind).To(Equal(owner.KindKnown))
 	})
 
-	// The caller sends one id to three entries at once; the owner gets its copy
-	// last. The first that asks becomes the delegate, the third entry is sent to
-	// it, the owner does not run it. The delegate that asks again, since the
-	// reply was lost, is told the same, but not after its own memory may have ended.
-	It("lets one of three entries run an id sent to all", func() {
+	// The caller sends one id to three entries at once, and the owner receives its
+	// copy last. The first entry that queries the owner becomes the delegate, the
+	// third entry is referred to it, and the owner does not run the request. A
+	// delegate that repeats the query, because the reply was lost, gets the same
+	// reply, but not once it may have dropped the id.
+	It("lets only one of three entries run an id sent to all", func() {
 		ta, tb, tc := table(a, 10), table(b, 10), table(c, 10)
 		Expect(tb.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindForeign, Owner: a}))
 		Expect(ta.Ask(start, b, id).Standing).To(Equal(message.StandingVoided))
@@ -112,9 +114,9 @@
 		Expect(tb.Admit(at(20*time.Second), id).Kind).To(Equal(owner.KindKnown))
 	})
 
-	// The delegate dies after the owner gave the id up to it. The owner must not
-	// give it up a second time, nor run it: the delegate may have dispatched it.
-	It("never gives an id up twice when the delegate has died", func() {
+	// The delegate crashes after the owner transferred the id to it. The owner must
+	// neither transfer it again nor run it: the delegate may have dispatched it.
+	It("never transfers an id twice when the delegate has crashed", func() {
 		t := table(a, 10)
 		t.Ask(start, b, id)
 		for now := time.Duration(0); now < 105*time.Second; now += 5 * time.Second {
@@ -124,10 +126,10 @@
 		Expect(t.Ask(at(105*time.Second), c, id).Standing).To(Equal(message.StandingExpired))
 	})
 
-	// The owner is paused with a request waiting and wakes after all is expired.
-	// Its caller was told "unknown" elsewhere. The owner must not dispatch; what
-	// waited in its rings meanwhile is overdue.
-	It("does not dispatch after a pause beyond all validity", func() {
+	// The owner is paused with a waiting request and resumes after all ids have
+	// expired. Another entry has reported "unknown" to the caller meanwhile. The
+	// owner must not dispatch the request; inputs in its rings are overdue.
+	It("does not dispatch after a pause longer than any validity", func() {
 		t := table(a, 10)
 		t.Admit(start, id)
 		Expect(t.Overdue(at(2*time.Second), start)).To(BeTrue())
@@ -136,9 +138,9 @@
 		Expect(t.Admit(at(time.Hour), id).Kind).To(Equal(owner.KindExpired))
 	})
 
-	// The table is full: a copy of an id is refused "not run", then room comes
-	// and an older copy arrives, or a peer asks. It must stay refused.
-	It("keeps a refusal for want of memory in force", func() {
+	// The table is full and a copy of an id is refused as "not run". Then there is
+	// memory again and an older copy arrives, or a peer's query. It must stay refused.
+	It("never admits an id that was refused for lack of memory", func() {
 		t := table(a, 1)
 		t.Admit(start, ident.PrefixFor(a, 0).ID("other"))
 		Expect(t.Admit(start, id).Kind).To(Equal(owner.KindFull))
@@ -155,10 +157,11 @@
 	})
 })
 
-// Callers send ids to any of three entries, peers' replies are lost or late,
-// entries run what they may, fill up and grow old. Whatever the order, no id
-// leaves to a target twice, and none that was refused "not run" leaves at all.
-func TestOneDispatch(t *testing.T) {
+// TestEachIDIsDispatchedAtMostOnce draws schedules in which callers send ids to
+// any of three entries, replies of peers are lost, tables become full and epochs
+// expire. No id is dispatched twice, and none that was refused as "not run" is
+// dispatched at all.
+func TestEachIDIsDispatchedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		selves := []ident.Incarnation{a, b, c}
 		tables := make([]*owner.Table, len(selves))
@@ -171,13 +174,13 @@
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 9).Draw(rt, "seconds")) * time.Second)
 			i := rapid.IntRange(0, 2).Draw(rt, "entry")
-			home := rapid.IntRange(0, 2).Draw(rt, "owner")
+			ownerIndex := rapid.IntRange(0, 2).Draw(rt, "owner")
 			epoch := uint32(rapid.IntRange(0, int(now.Sub(start)/period)).Draw(rt, "epoch"))
-			id := ident.PrefixFor(selves[home], epoch).ID(fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "suffix")))
+			id := ident.PrefixFor(selves[ownerIndex], epoch).ID(fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "suffix")))
 			found := tables[i].Admit(now, id)
 			refused[id] = refused[id] || found.Kind == owner.KindFull || found.Kind == owner.KindLate
 			if found.Kind == owner.KindForeign {
-				reply := tables[home].Ask(now, selves[i], id)
+				reply := tables[ownerIndex].Ask(now, selves[i], id)
 				refused[id] = refused[id] || reply.Status.Outcome == outcome.NotRun
 				lost := rapid.Bool().Draw(rt, "reply lost")
 				if !lost && reply.Standing == message.StandingVoided && !tables[i].Adopt(now, id) {
--- a/internal/core/owner/tag.go
+++ b/internal/core/owner/tag.go
@@ -8,21 +8,23 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// Tag tells organisations apart in four bytes for each remembered id.
+// Tag returns a hash of four bytes that distinguishes organisations. It is never
+// 0, which stands for unknown.
 func Tag(organisation string) uint32 {
 	return max(1, uint32(xxhash.Sum64String(organisation)))
 }
 
-// Belongs reports whether a caller with this tag may be told of the id. Failure:
-// an organisation sends an id that another's request has, by guess or from a
-// log. Symptom: it would be given that one's answer. An id that is not
-// remembered belongs to whoever brings it first.
+// Accessible reports whether a caller with this tag has access to the id. Without
+// this check, an organisation that sends the id of another one's request, by
+// guessing it or from a log, would receive its answer. An id that is not
+// remembered belongs to the first organisation that sends it.
 func (t *Table) Belongs(now time.Time, id ident.RequestID, tag uint32) bool {
 	r := t.lookup(now, id)
 	return r == nil || r.tag == 0 || tag == 0 || r.tag == tag
 }
 
-// Mark notes who brought a remembered id, once.
+// SetTag records the tag of the organisation that sent a remembered id. Only the
+// first call for an id has an effect.
 func (t *Table) Mark(now time.Time, id ident.RequestID, tag uint32) {
 	if r := t.lookup(now, id); r != nil && r.tag == 0 {
 		r.tag = tag
