--- a/internal/core/acceptance/acceptance.go
+++ b/internal/core/acceptance/acceptance.go
@@ -1,19 +1,19 @@
-// Package acceptance decides which record of the stream "documents" is in
-// force. It is a pure function of the records in log order, so that all
-// entries agree with no vote.
+// Package acceptance decides which document of the stream "documents" is in
+// force. The decision depends only on the records in log order, so all entries
+// agree without voting.
 //
-// Rules. A publication is accepted at its offset, which becomes its version,
-// when its base is the version in force and its sense is sound; so of two that
-// started from the same base the first in log order wins, at every entry. A
-// renewal repeats what is in force, since the log drops old records; it never
-// changes the version of a reader that has seen every record.
+// Rules: a publication is accepted if its base is the version in force and the
+// document is valid. Its offset becomes its version. Of two publications with the
+// same base, the first in log order therefore wins at every entry. A renewal
+// repeats the document in force, because the log drops old records. It never
+// changes the version at a reader that has read every record.
 //
-// A reader that starts in the middle of the log, or was cut off for longer
-// than the log keeps records, lacks what went before and cannot judge
-// publications. It keeps them, and judges them once it knows the version in
-// force at any offset from which on it has every record: from a renewal, which
-// says through which offset its writer had judged, or from a peer, since a
-// version was in force at its own offset. This takes offsets that rise by one.
+// A reader that starts in the middle of the log, or was disconnected for longer
+// than the log keeps records, lacks earlier records and cannot evaluate
+// publications. It keeps them as pending until it has the version in force at an
+// offset after which it has every record: from a renewal, which contains the
+// offset through which its writer had evaluated, or from a peer, since a version
+// was in force at its own offset. This requires that offsets increase by one.
 package acceptance
 
 import (
@@ -24,26 +24,30 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// Kind says what became of a record.
+// Kind is the kind of a result.
 type Kind uint8
 
 const (
-	// Accepted: in force from now on; Version is its offset.
+	// Accepted means that the document is in force from now on. Version is its
+	// offset.
 	Accepted Kind = iota
-	// Beaten: its base is not the version in force. Winner beat it.
+	// Conflict means that the document lost against Winner, which was accepted
+	// before it: its base is not the version in force.
 	Beaten
-	// Duplicate: the id was accepted before, as Version. The publisher's
-	// document is or was in force; it need not publish again.
+	// Duplicate means that the id was accepted before as Version. The document is
+	// or was in force, so the publisher need not publish it again.
 	Duplicate
-	// Invalid: malformed or without sense; Faults lists why.
+	// Invalid means that the document is malformed or fails its checks. Faults
+	// lists the reasons.
 	Invalid
-	// Renewed: a renewal. Version is what is in force after it.
+	// Renewed means that the record is a renewal. Version is the one in force
+	// after it.
 	Renewed
-	// Ignored: nothing new: a renewal of an older version, or an offset that
-	// was read before.
+	// Ignored means that the record changes nothing: a renewal of an older
+	// version, or an offset that was read before.
 	Ignored
-	// Pending: cannot be judged here yet, because records before it were
-	// missed. A renewal or a peer's document settles it.
+	// Pending means that the record cannot be evaluated here yet, because earlier
+	// records were missed. A renewal or a peer's document resolves it.
 	Pending
 )
 
@@ -56,18 +60,19 @@
 	return "unknown"
 }
 
-// Verdict is what became of one record.
+// Result is the result of evaluating one record.
 type Verdict struct {
 	Kind Kind
-	// Version in force after the record; for Duplicate, the version under
-	// which the document was accepted.
+	// Version is the version in force after the record, or for Duplicate the
+	// version as which the document was accepted.
 	Version int64
-	// DocumentID is the record's own; empty if it could not be read.
+	// DocumentID is the id of the record's document, empty if it could not be read.
 	DocumentID string
-	// Winner and WinnerVersion name the document that beat it.
+	// Winner and WinnerVersion are, for Conflict, the id and version of the
+	// document that was accepted instead.
 	Winner        string
 	WinnerVersion int64
-	// Faults of an invalid document.
+	// Faults are the faults of an Invalid document.
 	Faults document.Faults
 }
 
@@ -75,76 +80,77 @@
 var ErrUnusable = errors.New("document of a peer cannot be used")
 
 const (
-	// maxHistory bounds the accepted documents that verdicts can name. It
-	// decides nothing: an older duplicate is told "beaten" instead.
+	// maxHistory bounds the accepted documents that results can refer to. It has
+	// no influence on acceptance: an older duplicate gives Conflict instead.
 	maxHistory = 64
-	// maxPending bounds the publications kept while they cannot be judged.
-	// Only those after the offset that a renewal judged matter, so it bounds
-	// how far the writer of that renewal may have lagged.
+	// maxPending bounds the publications kept while they cannot be evaluated.
+	// Only those after the offset through which a renewal's writer had evaluated
+	// are needed, so it bounds how far that writer may lag.
 	maxPending = 16
 )
 
-// accepted is one document that was in force.
+// accepted is a document that was accepted.
 type accepted struct {
 	id      string
 	base    int64
 	version int64
 }
 
-// publication is a record that cannot be judged yet.
+// publication is a publication to be evaluated.
 type publication struct {
 	offset int64
 	doc    *document.Document
 	data   []byte
 }
 
-// Acceptance holds what is in force. It is not safe for concurrent use.
+// Acceptance holds the document in force. It is not safe for concurrent use.
 type Acceptance struct {
 	doc     *document.Document
 	version int64
 	data    []byte
-	// Every publication from first to last is judged or in pending, which is
-	// in offset order; both are 0 before the first record.
+	// Every publication from first to last is evaluated or in pending, which is
+	// in offset order. Both are 0 before the first record.
 	first, last int64
-	// certain: version is what a reader of the whole log has at last.
+	// certain reports that a reader of the whole log has the same version at the
+	// offset last.
 	certain bool
 	pending []publication
 	history []accepted
 
-	// renewed is when the log took the last renewal, or the first document if
-	// there was none; tried is when a renewal was last begun here.
-	renewed, tried time.Time
+	// renewedAt is when the last renewal was appended to the log, or the first
+	// document if there was none. renewalTriedAt is when this entry last began one.
+	renewedAt, renewalTriedAt time.Time
 }
 
-// New starts with no document.
+// New returns an Acceptance without a document.
 func New() *Acceptance { return &Acceptance{} }
 
-// Current returns what is in force; version 0 and a nil document: nothing.
-// While the backlog of a start is read, later records may replace it.
+// Current returns the document in force, or nil and version 0 if there is none.
+// While the backlog is read after a start, later records may replace it.
 func (a *Acceptance) Current() (doc *document.Document, version int64, data []byte) {
 	return a.doc, a.version, a.data
 }
 
-// Certain reports whether what is in force is what a reader of the whole log
-// has, as of the last record read. If not, ask peers for their document.
+// Certain reports whether a reader of the whole log has the same document in
+// force as of the last record read. If not, request the document from peers.
 func (a *Acceptance) Certain() bool { return a.certain }
 
-// Record takes the next record of the stream, in log order.
+// Record evaluates the next record of the stream, in log order.
 func (a *Acceptance) Record(offset int64, data record.Document) Verdict {
 	if offset <= a.last {
 		return Verdict{Kind: Ignored, Version: a.version}
 	}
-	a.advance(offset)
+	a.trackOffset(offset)
 	if data.Version != 0 {
 		return a.renewal(offset, data)
 	}
 	return a.publication(offset, data.Data)
 }
 
-// advance notes the offset and finds out whether records were missed. If so,
-// one of them may have replaced what is in force: going on as before, this
-// entry would accept what all others saw beaten, and part from them for good.
-func (a *Acceptance) advance(offset int64) {
+// trackOffset records the offset and detects missed records. One of them may have
+// replaced the document in force. If this entry went on evaluating without it, it
+// could accept a document that all others rejected, and diverge permanently.
+func (a *Acceptance) trackOffset(offset int64) {
 	if a.last == 0 || offset != a.last+1 {
 		a.first, a.pending = offset, nil
 		a.certain = a.version >= offset-1
@@ -158,13 +164,13 @@
 		return malformed(a.version, err)
 	}
 	if offset <= a.version {
-		return a.before(offset, doc)
+		return a.evaluateBeforeAdopted(offset, doc)
 	}
 	if !a.certain {
-		a.keep(publication{offset: offset, doc: doc, data: data})
+		a.addPending(publication{offset: offset, doc: doc, data: data})
 		return Verdict{Kind: Pending, Version: a.version, DocumentID: doc.ID}
 	}
-	return a.judge(publication{offset: offset, doc: doc, data: data})
+	return a.evaluate(publication{offset: offset, doc: doc, data: data})
 }
 
 func malformed(version int64, err error) Verdict {
@@ -172,9 +178,9 @@
 	return Verdict{Kind: Invalid, Version: version, Faults: document.Faults{fault}}
 }
 
-// before gives what can be said of a publication that is older than a version
-// which came from a peer.
-func (a *Acceptance) before(offset int64, doc *document.Document) Verdict {
+// evaluateBeforeAdopted returns what can be determined of a publication that is not
+// newer than a version adopted from a peer.
+func (a *Acceptance) evaluateBeforeAdopted(offset int64, doc *document.Document) Verdict {
 	v := Verdict{Kind: Pending, Version: a.version, DocumentID: doc.ID}
 	if offset == a.version {
 		v.Kind = Accepted
@@ -185,7 +191,7 @@
 	return v
 }
 
-func (a *Acceptance) keep(p publication) {
+func (a *Acceptance) addPending(p publication) {
 	if len(a.pending) == maxPending {
 		a.first = a.pending[0].offset + 1
 		a.pending = a.pending[1:]
@@ -193,14 +199,14 @@
 	a.pending = append(a.pending, p)
 }
 
-// judge decides on a publication, knowing what is in force before it. Only the
-// version in force and its id count, and a renewal carries both, so a reader
-// from a renewal on judges as one that saw the whole log. A copy of a document
-// that was accepted cannot be accepted again: its base is below its version.
-func (a *Acceptance) judge(p publication) Verdict {
+// evaluate evaluates a publication against the document in force before it. Only
+// that document's version and id matter, and a renewal contains both, so a reader
+// that starts at a renewal decides like one of the whole log. A copy of an
+// accepted document cannot be accepted again: its base is below its version.
+func (a *Acceptance) evaluate(p publication) Verdict {
 	v := Verdict{Version: a.version, DocumentID: p.doc.ID}
 	if p.doc.Base != a.version {
-		return a.beaten(v, p.doc)
+		return a.conflict(v, p.doc)
 	}
 	if a.doc != nil && p.doc.ID == a.doc.ID {
 		v.Kind = Duplicate
@@ -210,32 +216,33 @@
 		v.Kind, v.Faults = Invalid, faults
 		return v
 	}
-	a.put(p.doc, p.offset, p.data)
+	a.setCurrent(p.doc, p.offset, p.data)
 	v.Version = p.offset
 	return v
 }
 
-// beaten tells a publication that was accepted earlier, whose publisher lost
-// the answer, from one that another document beat.
-func (a *Acceptance) beaten(v Verdict, doc *document.Document) Verdict {
+// conflict returns the result of a publication whose base is not in force. It is
+// Duplicate if the document was accepted earlier and the publisher's answer was
+// lost, otherwise Conflict.
+func (a *Acceptance) conflict(v Verdict, doc *document.Document) Verdict {
 	v.Kind = Beaten
 	if a.doc != nil {
 		v.Winner, v.WinnerVersion = a.doc.ID, a.version
 	}
-	for _, former := range a.history {
-		if former.base != doc.Base {
+	for _, previous := range a.history {
+		if previous.base != doc.Base {
 			continue
 		}
-		if former.id == doc.ID {
-			return Verdict{Kind: Duplicate, Version: former.version, DocumentID: doc.ID}
+		if previous.id == doc.ID {
+			return Verdict{Kind: Duplicate, Version: previous.version, DocumentID: doc.ID}
 		}
-		v.Winner, v.WinnerVersion = former.id, former.version
+		v.Winner, v.WinnerVersion = previous.id, previous.version
 	}
 	return v
 }
 
-// put brings a document in force.
-func (a *Acceptance) put(doc *document.Document, version int64, data []byte) {
+// setCurrent puts a document in force.
+func (a *Acceptance) setCurrent(doc *document.Document, version int64, data []byte) {
 	a.doc, a.version, a.data = doc, version, data
 	a.history = append(a.history, accepted{id: doc.ID, base: doc.Base, version: version})
 	if len(a.history) > maxHistory {
@@ -243,13 +250,13 @@
 	}
 }
 
-// settle judges what was kept, once certain.
-func (a *Acceptance) settle() {
+// evaluatePending evaluates the pending publications once the reader is certain.
+func (a *Acceptance) evaluatePending() {
 	kept := a.pending
 	a.pending = nil
 	for _, p := range kept {
 		if p.offset > a.version {
-			a.judge(p)
+			a.evaluate(p)
 		}
 	}
 }
--- a/internal/core/acceptance/acceptance_test.go
+++ b/internal/core/acceptance/acceptance_test.go
@@ -18,29 +18,29 @@
 	RunSpecs(t, "acceptance")
 }
 
-// text is a sound document; without tiers it has no sense.
-func text(id string, base int64, sound bool) []byte {
+// documentJSON returns the JSON of a document, which is invalid without tiers.
+func documentJSON(id string, base int64, valid bool) []byte {
 	tiers := `{"name":"rider"}`
-	if !sound {
+	if !valid {
 		tiers = ""
 	}
 	return fmt.Appendf(nil, `{"schema":1,"id":%q,"base":%d,"tiers":[%s]}`, id, base, tiers)
 }
 
 func publish(id string, base int64) record.Document {
-	return record.Document{Data: text(id, base, true)}
+	return record.Document{Data: documentJSON(id, base, true)}
 }
 
-// entry is one reader of the log.
+// entry is one reader of the log, with its results.
 type entry struct {
 	*acceptance.Acceptance
-	verdicts []acceptance.Verdict
+	results []acceptance.Verdict
 }
 
 func read(log []record.Document, from int) *entry {
 	e := &entry{Acceptance: acceptance.New()}
 	for i := from; i <= len(log); i++ {
-		e.verdicts = append(e.verdicts, e.Record(int64(i), log[i-1]))
+		e.results = append(e.results, e.Record(int64(i), log[i-1]))
 	}
 	return e
 }
@@ -50,60 +50,60 @@
 	return version
 }
 
-var _ = Describe("what a record becomes", func() {
-	// Two operators publish from the same version. Both records reach the log;
-	// every entry reads them in the same order, so the first wins everywhere,
-	// and the second's author is told which document to start from instead.
-	It("lets the first of two racing documents win and names it to the second", func() {
+var _ = Describe("evaluating a record", func() {
+	// Two operators publish from the same version. Both records reach the log,
+	// and every entry reads them in the same order, so the first wins everywhere.
+	// The result of the second names the document to start from instead.
+	It("accepts the first of two racing documents and names it in the second's result", func() {
 		e := read([]record.Document{publish("a", 0), publish("b", 1), publish("c", 1)}, 1)
 		Expect(e.version()).To(Equal(int64(2)))
-		Expect(e.verdicts[2]).To(Equal(acceptance.Verdict{
+		Expect(e.results[2]).To(Equal(acceptance.Verdict{
 			Kind: acceptance.Beaten, Version: 2, DocumentID: "c", Winner: "b", WinnerVersion: 2,
 		}))
 	})
 
 	// The answer to an append is lost, so the publisher appends the document
-	// again; meanwhile another was accepted on top of it. The copy must change
-	// nothing and still tell the publisher that its document was accepted.
-	It("knows the copy of a document whose append's answer was lost", func() {
+	// again. Another one based on it was accepted meanwhile. The copy must change
+	// nothing, and its result must still report that the document was accepted.
+	It("recognises the copy of a document after the answer to its append was lost", func() {
 		e := read([]record.Document{publish("a", 0), publish("b", 1), publish("b", 1), publish("c", 2), publish("b", 1)}, 1)
-		Expect(e.verdicts[2]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
-		Expect(e.verdicts[4]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
+		Expect(e.results[2]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
+		Expect(e.results[4]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
 		Expect(e.version()).To(Equal(int64(4)))
 	})
 
 	DescribeTable("refuses", func(data []byte, path string) {
 		e := read([]record.Document{publish("a", 0), {Data: data}}, 1)
-		Expect(e.verdicts[1].Kind).To(Equal(acceptance.Invalid))
-		Expect(e.verdicts[1].Faults[0].Path).To(Equal(path))
+		Expect(e.results[1].Kind).To(Equal(acceptance.Invalid))
+		Expect(e.results[1].Faults[0].Path).To(Equal(path))
 		Expect(e.version()).To(Equal(int64(1)))
 	},
-		Entry("text that is no document", []byte("{"), "$"),
-		Entry("a document without sense", text("b", 1, false), "tiers"),
+		Entry("malformed JSON", []byte("{"), "$"),
+		Entry("an invalid document", documentJSON("b", 1, false), "tiers"),
 	)
 
-	It("does not take another document under the id in force", func() {
+	It("does not accept another document with the id in force", func() {
 		e := read([]record.Document{publish("a", 0), publish("a", 1)}, 1)
-		Expect(e.verdicts[1].Kind).To(Equal(acceptance.Duplicate))
+		Expect(e.results[1].Kind).To(Equal(acceptance.Duplicate))
 	})
 })
 
-var _ = Describe("aged-out records", func() {
-	// An entry renews version 1 without having read that version 2 replaced
-	// it. An entry that starts later reads from the middle: it must not take
-	// the old version from the renewal, nor the beaten document before it.
-	It("judges what came between a late renewal's writing and its landing", func() {
-		log := []record.Document{publish("a", 0), publish("lost", 0), publish("b", 1), {Data: text("a", 0, true), Version: 1, Through: 1}}
+var _ = Describe("expired records", func() {
+	// An entry renews version 1 before it reads that version 3 replaced it. An
+	// entry that starts later reads from the middle of the log. It must neither
+	// keep the old version of the renewal nor accept the conflicting version 2.
+	It("evaluates the records between a late renewal and the last one that its writer read", func() {
+		log := []record.Document{publish("a", 0), publish("lost", 0), publish("b", 1), {Data: documentJSON("a", 0, true), Version: 1, Through: 1}}
 		e := read(log, 2)
-		Expect(e.verdicts[0].Kind).To(Equal(acceptance.Pending))
+		Expect(e.results[0].Kind).To(Equal(acceptance.Pending))
 		Expect(e.version()).To(Equal(int64(3)))
 		Expect(e.Certain()).To(BeTrue())
 	})
 
-	// The entry was cut off for longer than the log keeps records. Version 3
-	// came and went out of the log meanwhile; the next record it reads has the
-	// base that it still holds, and all others saw that record beaten.
-	It("stops judging after a gap until a renewal or a peer bridges it", func() {
+	// The entry was disconnected for longer than the log keeps records. Version 3
+	// was published and expired meanwhile. The base of the next record that it
+	// reads is the version in force here, but all others rejected that record.
+	It("stops evaluating after a gap until a renewal or a peer closes it", func() {
 		missed := func() *entry {
 			e := read([]record.Document{publish("a", 0)}, 1)
 			Expect(e.Record(9, publish("late", 1)).Kind).To(Equal(acceptance.Pending))
@@ -111,30 +111,30 @@
 			return e
 		}
 		renewed := missed()
-		v := renewed.Record(10, record.Document{Data: text("b", 1, true), Version: 3, Through: 8})
+		v := renewed.Record(10, record.Document{Data: documentJSON("b", 1, true), Version: 3, Through: 8})
 		Expect(v.Kind).To(Equal(acceptance.Renewed))
 		Expect(renewed.version()).To(Equal(int64(3)))
 		Expect(renewed.Certain()).To(BeTrue())
 
 		adopted := missed()
-		Expect(adopted.Adopt(3, text("b", 1, true))).To(Succeed())
+		Expect(adopted.Adopt(3, documentJSON("b", 1, true))).To(Succeed())
 		Expect(adopted.version()).To(Equal(int64(3)))
 		Expect(adopted.Certain()).To(BeFalse())
-		Expect(adopted.Adopt(9, text("c", 3, true))).To(Succeed())
+		Expect(adopted.Adopt(9, documentJSON("c", 3, true))).To(Succeed())
 		Expect(adopted.Certain()).To(BeTrue())
 	})
 
-	It("never goes back to a lower version, from a renewal or from a peer", func() {
+	It("never returns to a lower version, from a renewal or from a peer", func() {
 		e := read([]record.Document{publish("a", 0), publish("b", 1)}, 1)
-		Expect(e.Record(3, record.Document{Data: text("a", 0, true), Version: 1, Through: 1}).Kind).To(Equal(acceptance.Ignored))
-		Expect(e.Adopt(1, text("a", 0, true))).To(Succeed())
+		Expect(e.Record(3, record.Document{Data: documentJSON("a", 0, true), Version: 1, Through: 1}).Kind).To(Equal(acceptance.Ignored))
+		Expect(e.Adopt(1, documentJSON("a", 0, true))).To(Succeed())
 		Expect(e.version()).To(Equal(int64(2)))
 	})
 
-	// Everything was lost for longer than the retention: no renewal is kept
-	// and no peer holds a document. The operator publishes as for the first
-	// time, at an offset that is not 1.
-	It("takes a first document after everything was lost only when told to", func() {
+	// All entries were down for longer than the retention: the log contains no
+	// renewal and no peer has a document. The operator publishes a document
+	// without a base, at an offset other than 1.
+	It("accepts a first document after a total loss only after Bootstrap", func() {
 		e := read(make([]record.Document, 0), 1)
 		Expect(e.Record(50, publish("new", 0)).Kind).To(Equal(acceptance.Pending))
 		Expect(e.version()).To(BeZero())
@@ -156,7 +156,7 @@
 		return retention
 	}
 
-	DescribeTable("falls due before half the retention, spread by the jitter", func(jitter float64, at time.Duration) {
+	DescribeTable("becomes due before half the retention, spread by the jitter", func(jitter float64, at time.Duration) {
 		e := &entry{Acceptance: acceptance.New()}
 		e.Seen(e.Record(1, publish("a", 0)), start)
 		Expect(due(e, jitter)).To(Equal(at))
@@ -166,9 +166,9 @@
 		Entry("latest", 0.99, 120*time.Minute),
 	)
 
-	// Documents come so often that none is ever old. A renewal is due all the
-	// same: without one, an entry that starts cannot judge what the log keeps.
-	It("is due however often documents are published, and ends for all once one is read", func() {
+	// Documents are published so often that none is ever old. A renewal is due
+	// nevertheless: without one, a starting entry cannot evaluate the log's records.
+	It("is due however often documents are published, until one is read", func() {
 		e := &entry{Acceptance: acceptance.New()}
 		for i := range int64(60) {
 			e.Seen(e.Record(i+1, publish(fmt.Sprint("d", i), i)), start.Add(time.Duration(i)*time.Minute))
@@ -183,26 +183,26 @@
 		Expect(e.RenewalDue(now.Add(retention/64), retention, 0)).To(BeFalse())
 	})
 
-	It("is due soon for a document from a peer that no record showed", func() {
+	It("is due soon for a document from a peer without a record in the log", func() {
 		e := &entry{Acceptance: acceptance.New()}
-		Expect(e.Adopt(7, text("a", 0, true))).To(Succeed())
+		Expect(e.Adopt(7, documentJSON("a", 0, true))).To(Succeed())
 		Expect(due(e, 0.9)).To(BeNumerically("<=", time.Minute))
 	})
 })
 
-// TestSuffix draws logs with racing, repeated, unsound and lying publications
-// and with renewals whose writers lag, and compares a reader of any suffix with
-// a reader of the whole.
+// TestSuffix draws logs with racing, repeated and invalid
+// publications, with publications whose base is wrong, and with renewals whose
+// writers lag. It compares a reader of any suffix with a reader of the whole log.
 func TestSuffix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawLog(t)
-		whole := make([]int64, len(log)+1)
+		want := make([]int64, len(log)+1)
 		reader := &entry{Acceptance: acceptance.New()}
 		for i, rec := range log {
 			reader.Record(int64(i+1), rec)
-			whole[i+1] = reader.version()
-			if whole[i+1] < whole[i] {
-				t.Fatalf("version went back from %d to %d", whole[i], whole[i+1])
+			want[i+1] = reader.version()
+			if want[i+1] < want[i] {
+				t.Fatalf("version went back from %d to %d", want[i], want[i+1])
 			}
 		}
 		from := rapid.IntRange(1, len(log)).Draw(t, "from")
@@ -215,10 +215,10 @@
 			if suffix.Certain() != bridged {
 				t.Fatalf("at %d certain is %v, bridged by a renewal %v", i, suffix.Certain(), bridged)
 			}
-			if bridged && suffix.version() != whole[i] {
-				t.Fatalf("from %d: version %d at %d, a reader of the whole has %d", from, suffix.version(), i, whole[i])
+			if bridged && suffix.version() != want[i] {
+				t.Fatalf("from %d: version %d at %d, a reader of the whole log has %d", from, suffix.version(), i, want[i])
 			}
-			if suffix.version() > whole[i] {
+			if suffix.version() > want[i] {
 				t.Fatalf("from %d: version %d at %d was never in force", from, suffix.version(), i)
 			}
 		}
@@ -240,7 +240,7 @@
 		} else {
 			base := rapid.SampledFrom([]int64{version, version, version, 0, offset, offset + 1}).Draw(t, "base")
 			id := fmt.Sprint("d", rapid.IntRange(0, 12).Draw(t, "id"))
-			rec = record.Document{Data: text(id, base, rapid.IntRange(0, 5).Draw(t, "sound") > 0)}
+			rec = record.Document{Data: documentJSON(id, base, rapid.IntRange(0, 5).Draw(t, "sound") > 0)}
 		}
 		log = append(log, rec)
 		readers = append(readers, read(log, 1))
--- a/internal/core/acceptance/basis.go
+++ b/internal/core/acceptance/basis.go
@@ -7,9 +7,9 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// renewal takes a record that says which version was in force at an offset.
-// The version only rises: a renewal may land after a newer publication, since
-// its writer had not read that yet.
+// renewal evaluates a renewal, which contains the version in force at an offset.
+// The version never decreases: a renewal may follow a newer publication that its
+// writer had not read yet.
 func (a *Acceptance) renewal(offset int64, data record.Document) Verdict {
 	through := max(data.Version, data.Through)
 	if data.Version < 0 || through >= offset {
@@ -26,25 +26,26 @@
 		a.replace(offset, doc, data)
 	}
 	v := Verdict{Kind: Renewed, DocumentID: a.doc.ID}
-	a.establish(through)
+	a.makeCertain(through)
 	v.Version = a.version
 	return v
 }
 
-// replace brings in force what a renewal carries. A reader that was certain of
-// a lower version has judged on a false basis: entries that all started with
-// nothing, each from another place in the log, can have come to that. The
-// higher version wins everywhere, and certainty begins anew from here.
+// replace puts the document of a renewal in force. A reader that was certain of
+// a lower version has evaluated against a wrong version. This is possible if all
+// entries started without a document, each at another offset of the log. The
+// higher version wins everywhere, and the reader must become certain again, by the
+// records from this offset on.
 func (a *Acceptance) replace(offset int64, doc *document.Document, data record.Document) {
 	if a.certain {
 		a.certain, a.first = false, offset
 	}
-	a.put(doc, data.Version, data.Data)
+	a.setCurrent(doc, data.Version, data.Data)
 }
 
-// establish makes the reader certain if it has every publication after the
-// offset at which the version in force is known to have been so.
-func (a *Acceptance) establish(through int64) {
+// makeCertain makes the reader certain if it has every publication after through,
+// an offset at which the current version was in force.
+func (a *Acceptance) makeCertain(through int64) {
 	if a.certain || a.last == 0 || through < a.first-1 {
 		return
 	}
@@ -52,13 +53,13 @@
 	for len(a.pending) > 0 && a.pending[0].offset <= through {
 		a.pending = a.pending[1:]
 	}
-	a.settle()
+	a.evaluatePending()
 }
 
-// Adopt takes the document that is in force at a peer: at a start while the
-// log is down, when a peer's version is higher, or while this reader is not
-// certain. A lower version changes nothing. The sense is not checked again:
-// it was judged when the document was accepted.
+// Adopt puts the document in force at a peer in force here. It is called at a
+// start while the log is unavailable, when a peer's version is higher, or while
+// this reader is not certain. A version that is not higher is ignored. The document
+// is parsed but not checked again, since it was checked when it was accepted.
 func (a *Acceptance) Adopt(version int64, data []byte) error {
 	if version <= 0 {
 		return fmt.Errorf("%w: version %d", ErrUnusable, version)
@@ -70,25 +71,25 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
-	a.put(doc, version, data)
-	// If publications were judged against a lower version, that was a false
-	// basis, and certainty begins anew after the last record read.
+	a.setCurrent(doc, version, data)
+	// Publications after this version were evaluated against a lower, wrong one.
+	// The reader must become certain again, by the records after the last one read.
 	if a.certain && version < a.last {
 		a.certain, a.first = false, a.last+1
 	}
-	a.establish(version)
+	a.makeCertain(version)
 	return nil
 }
 
-// Bootstrap lets the first document in force after everything was lost: the
-// log keeps no renewal, and no peer has a document. To be called only when the
-// stream is caught up and every peer that answers holds none; it does nothing
-// where a document is held. Before that, the first publication in the kept
-// part of the log may be one that was beaten long ago.
+// Bootstrap accepts a first document after a total loss, when the log contains no
+// renewal and no peer has a document. It may be called only when the stream is
+// caught up and all peers that answer have no document: before that, the first
+// publication in the log may be one that was rejected long ago. It has no effect
+// if a document is in force.
 func (a *Acceptance) Bootstrap() {
 	if a.version != 0 || a.certain {
 		return
 	}
 	a.certain = true
-	a.settle()
+	a.evaluatePending()
 }
--- a/internal/core/acceptance/renewal.go
+++ b/internal/core/acceptance/renewal.go
@@ -6,54 +6,55 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// A renewal falls due between a quarter and a half of the retention after the
-// log took the last renewal. Each entry adds its own jitter, so that the first
-// to append tells all others that it is done.
+// A renewal becomes due between a quarter and a half of the retention after the
+// last one was appended. Each entry adds its own jitter, so that the first one to
+// append makes the renewals of all others unnecessary.
 const (
-	renewalEarliest = 0.25
-	renewalSpread   = 0.25
-	// urgentSpread is the part of the retention over which entries spread
-	// renewals of a document that the log may not hold at all.
-	urgentSpread = 1.0 / 256
-	// retryAfter is the part of the retention before a renewal whose record
-	// was not read back is tried again.
-	retryAfter = 1.0 / 64
+	renewalEarliestFraction = 0.25
+	renewalSpreadFraction   = 0.25
+	// urgentSpreadFraction is the part of the retention over which entries spread
+	// the renewals of a document that the log may not contain at all.
+	urgentSpreadFraction = 1.0 / 256
+	// retryFraction is the part of the retention after which a renewal that was
+	// not read back is retried.
+	retryFraction = 1.0 / 64
 )
 
-// Seen notes a record's verdict and when the log took it: the time of reading
-// less the record's age. To be called after each Record.
+// Observe records the result of a record and when it was appended to the log, which
+// is the time of reading less the record's age. It must be called after each Record.
 func (a *Acceptance) Seen(v Verdict, taken time.Time) {
-	first := v.Kind == Accepted && a.renewed.IsZero()
-	again := v.Kind == Renewed && taken.After(a.renewed)
+	first := v.Kind == Accepted && a.renewedAt.IsZero()
+	again := v.Kind == Renewed && taken.After(a.renewedAt)
 	if first || again {
-		a.renewed = taken
+		a.renewedAt = taken
 	}
 }
 
-// RenewalDue reports whether this entry is to append what Renew returns.
-// Jitter, from 0 up to and without 1, is the entry's own.
+// RenewalDue reports whether this entry must append the record returned by Renew.
+// Jitter, at least 0 and less than 1, differs between entries.
 //
-// Time counts from the last renewal, not from the last publication: a reader
-// that starts in the middle cannot judge a publication without a renewal, so
-// however often documents are published, the kept part of the log must hold
-// one. A document for which none was seen is due soon.
+// The time counts from the last renewal, not from the last publication. A reader
+// that starts in the middle of the log cannot evaluate publications without a
+// renewal, so the log must always contain one, however often documents are
+// published. A renewal of a document is due soon if neither its publication nor a
+// renewal of it was read.
 func (a *Acceptance) RenewalDue(now time.Time, retention time.Duration, jitter float64) bool {
 	if a.version == 0 {
 		return false
 	}
-	if !a.tried.IsZero() && now.Sub(a.tried) < part(retention, retryAfter*(1+jitter)) {
+	if !a.renewalTriedAt.IsZero() && now.Sub(a.renewalTriedAt) < fraction(retention, retryFraction*(1+jitter)) {
 		return false
 	}
-	if a.renewed.IsZero() {
-		a.renewed = now.Add(part(retention, urgentSpread*jitter-renewalEarliest-renewalSpread*jitter))
+	if a.renewedAt.IsZero() {
+		a.renewedAt = now.Add(fraction(retention, urgentSpreadFraction*jitter-renewalEarliestFraction-renewalSpreadFraction*jitter))
 	}
-	return now.Sub(a.renewed) >= part(retention, renewalEarliest+renewalSpread*jitter)
+	return now.Sub(a.renewedAt) >= fraction(retention, renewalEarliestFraction+renewalSpreadFraction*jitter)
 }
 
-// Renew returns the record to append and notes the attempt. Reading it back,
-// or another entry's renewal, ends the need.
+// Renew returns the renewal to append and records the attempt. The renewal is no
+// longer due once it, or one of another entry, is read.
 func (a *Acceptance) Renew(now time.Time) record.Document {
-	a.tried = now
+	a.renewalTriedAt = now
 	through := a.version
 	if a.certain {
 		through = max(a.version, a.last)
@@ -61,6 +62,6 @@
 	return record.Document{Data: a.data, Version: a.version, Through: through}
 }
 
-func part(d time.Duration, share float64) time.Duration {
+func fraction(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * share)
 }
