--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -1,5 +1,5 @@
-// Package record defines what the project keeps on the platform's log: one
-// CBOR record for each append, in a named stream.
+// Package record defines the records that entries append to the platform's
+// log. Each append is one CBOR record in a named stream.
 package record
 
 import (
@@ -18,18 +18,20 @@
 const (
 	// StreamDocuments holds published documents and their renewals.
 	StreamDocuments Stream = "documents"
-	// StreamVerdicts holds convictions of requests that crash targets.
+	// StreamQuarantines holds quarantines of requests that crash targets.
 	StreamVerdicts Stream = "verdicts"
-	// StreamOrders holds orders to targets; an order's offset fences it.
+	// StreamOrders holds orders to targets. The offset of an order is its
+	// fencing number.
 	StreamOrders Stream = "orders"
 )
 
-// ClaimsStream names the stream of one partition of idempotency keys.
+// ClaimsStream returns the name of the stream of one partition of idempotency
+// keys.
 func ClaimsStream(partition int) Stream {
 	return Stream(fmt.Sprintf("claims-%d", partition))
 }
 
-// Record is one append. Exactly one kind of field is set.
+// Record is the content of one append. Exactly one field is set.
 type Record struct {
 	Document *Document `cbor:"1,keyasint,omitempty"`
 	Claims   []Claim   `cbor:"2,keyasint,omitempty"`
@@ -38,32 +40,33 @@
 	Order    *Order    `cbor:"5,keyasint,omitempty"`
 }
 
-// Document carries the JSON of a document.Document.
+// Document holds the JSON encoding of a document.Document.
 type Document struct {
 	Data []byte `cbor:"1,keyasint"`
-	// Version is 0 on publication (the record's own offset is the version), and
-	// the original version where an entry renews an accepted document before
-	// the log's retention drops it.
+	// Version is 0 in a publication, whose version is the record's own offset.
+	// In a renewal, which an entry appends before the log's retention drops an
+	// accepted document, it is the document's original version.
 	Version int64 `cbor:"2,keyasint,omitempty"`
-	// Through is set on a renewal: the last offset that the renewing entry had
-	// judged. Version was in force there, so a reader that has every record
-	// after Through can judge them, although the ones before aged out.
+	// Through is set in a renewal to the last offset that the renewing entry
+	// had evaluated. Version was in force at that offset, so a reader that has
+	// every record after Through can evaluate them without the earlier ones.
 	Through int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Claim ties an idempotency key to the request that may run for it.
+// Claim associates an idempotency key with a request.
 type Claim struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
 }
 
-// Verdict convicts a request of crashing targets.
+// Quarantine excludes a request that crashes targets from execution.
 type Verdict struct {
 	Fingerprint request.Fingerprint `cbor:"1,keyasint"`
 	Deaths      []string            `cbor:"2,keyasint,omitempty"`
 }
 
-// Order says what a target must hold; absolute, so repeating it is harmless.
+// Order is the model, version and adapters that a target must hold. It is
+// absolute, so repeating it is harmless.
 type Order struct {
 	Target   string            `cbor:"1,keyasint"`
 	Model    string            `cbor:"2,keyasint"`
@@ -75,7 +78,7 @@
 // ErrMalformed is wrapped by every error of Decode.
 var ErrMalformed = errors.New("malformed log record")
 
-// Encode forms the bytes of a record; it fails only on a programming error.
+// Encode returns the CBOR encoding of r. It fails only on a programming error.
 func Encode(r Record) ([]byte, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -84,7 +87,7 @@
 	return data, nil
 }
 
-// Decode reads a record.
+// Decode parses the CBOR encoding of a record.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(data, &r); err != nil {
