--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -1,5 +1,6 @@
-// Package message defines what entries say to each other. Times are durations
-// that remain, never clock readings, since clocks of instances differ.
+// Package message defines the messages of the peer protocol between entries.
+// Times are remaining durations, never clock readings, because the clocks of
+// instances differ.
 package message
 
 import (
@@ -10,13 +11,13 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Version is the version of the peer protocol; the hello refuses another.
+// Version is the version of the peer protocol. The hello rejects any other.
 const Version = 1
 
-// Message is one of the types of this package.
+// Message is implemented by the message types of this package.
 type Message interface{ message() }
 
-// State is the stage of life of an entry.
+// State is the lifecycle state of an entry.
 type State uint8
 
 const (
@@ -44,56 +45,62 @@
 	Name        string            `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 	Zone        string            `cbor:"3,keyasint"`
-	// PeerAddress is where peers connect, CallerAddress where callers do.
+	// PeerAddress accepts connections of peers, CallerAddress those of callers.
 	PeerAddress   string `cbor:"4,keyasint"`
 	CallerAddress string `cbor:"5,keyasint"`
 }
 
-// Heartbeat says that its sender lives, and what peers must know of it.
+// Heartbeat announces that its sender is alive, and reports its state to peers.
 type Heartbeat struct {
 	Seq   uint64 `cbor:"1,keyasint"`
 	State State  `cbor:"2,keyasint"`
-	// ConfigVersion is the log offset of the document in force there.
+	// ConfigVersion is the log offset of the document in force at the sender.
 	ConfigVersion int64 `cbor:"3,keyasint"`
-	// InFlight is the number of requests that the entry owns and has not settled.
+	// InFlight is the number of requests that the sender owns and has not settled.
 	InFlight int `cbor:"4,keyasint"`
-	// Digests tell of the targets that the sender schedules.
+	// Digests describe the targets that the sender schedules.
 	Digests []Digest `cbor:"5,keyasint,omitempty"`
 	// Echo is the Seq of the last heartbeat received from the addressee, so
-	// that a link cut in one direction is seen at both ends.
+	// that both ends detect a link that is broken in one direction.
 	Echo uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Digest is the state of one target as its scheduler sees it.
+// Digest is the state of one target according to its scheduler.
 type Digest struct {
 	Target string `cbor:"1,keyasint"`
-	// Limit is how many requests it may hold now, InFlight how many it holds.
+	// Limit is the current maximum of requests in flight at the target, InFlight
+	// their number.
 	Limit    int `cbor:"2,keyasint"`
 	InFlight int `cbor:"3,keyasint"`
 	Queued   int `cbor:"4,keyasint"`
-	// QueuedPrefill is prompt tokens granted and not yet computed.
+	// QueuedPrefill is the number of prompt tokens granted and not yet computed.
 	QueuedPrefill int `cbor:"5,keyasint"`
-	// PrefillRate in tokens per second and StepTime are the learned estimates.
+	// PrefillRate, in tokens per second, and StepTime are estimates from
+	// observed runs.
 	PrefillRate float64       `cbor:"6,keyasint"`
 	StepTime    time.Duration `cbor:"7,keyasint"`
-	// Available: neither leaving, nor dead, nor excluded as a straggler.
+	// Available reports that the target is not leaving, not down and not
+	// excluded as a straggler.
 	Available bool `cbor:"8,keyasint"`
-	// LowestTier is the least important tier that it holds, for preemption.
+	// LowestTier is the least important tier in flight at the target, for
+	// preemption.
 	LowestTier request.Tier `cbor:"9,keyasint"`
-	// Wait is the estimated wait for a place of a request of the lowest tier.
+	// Wait is the estimated wait for a slot of a request of the lowest tier.
 	Wait time.Duration `cbor:"10,keyasint"`
-	// WaitingPrefill is prompt tokens of the offers that wait for a place; short
-	// prompts pass long ones, so only a long one counts them as ahead.
+	// WaitingPrefill is the number of prompt tokens of the offers that wait for
+	// a slot. Short prompts overtake long ones, so only a long one counts them
+	// as ahead of it.
 	WaitingPrefill int `cbor:"11,keyasint,omitempty"`
-	// Waits is the estimated wait for a place by tier, the top tier first; Wait
-	// holds for tiers beyond.
+	// Waits is the estimated wait for a slot by tier, the top tier first. Wait
+	// applies to the tiers that it does not include.
 	Waits []time.Duration `cbor:"12,keyasint,omitempty"`
 }
 
-// Offer asks a target's scheduler for a place. Sent again to refresh it.
+// Offer requests a slot from a target's scheduler. The owner sends it again to
+// refresh it.
 type Offer struct {
-	// Ask numbers the owner's offers; a grant quotes it, and its validity
-	// counts from when the owner sent that ask.
+	// Seq is the sequence number of the owner's offer. A grant repeats it, and
+	// its validity counts from when the owner sent that offer.
 	Ask          uint64              `cbor:"1,keyasint"`
 	ID           ident.RequestID     `cbor:"2,keyasint"`
 	Target       string              `cbor:"3,keyasint"`
@@ -105,22 +112,26 @@
 	Prefixes     []uint64            `cbor:"9,keyasint,omitempty"`
 	Idempotent   bool                `cbor:"10,keyasint"`
 	Fingerprint  request.Fingerprint `cbor:"11,keyasint"`
-	// Remaining is the time to the deadline, FirstToken to the first token's.
+	// Remaining is the time to the deadline, FirstToken the time to the
+	// deadline of the first token.
 	Remaining  time.Duration `cbor:"12,keyasint"`
 	FirstToken time.Duration `cbor:"13,keyasint,omitempty"`
-	// Alone: a suspect; it may run only where no other suspect runs.
+	// Isolated marks a suspect, which may run only at a target with no other
+	// suspect.
 	Alone bool `cbor:"14,keyasint,omitempty"`
-	// Final: the owner has no other target to try, so a refusal is the last word.
+	// Final reports that the owner has no other target to try, so a refusal is
+	// the final outcome.
 	Final bool `cbor:"15,keyasint,omitempty"`
 }
 
-// Withdraw takes an offer back, or gives an unused grant back.
+// Withdraw withdraws an offer, or returns an unused grant.
 type Withdraw struct {
 	ID     ident.RequestID `cbor:"1,keyasint"`
 	Target string          `cbor:"2,keyasint"`
 }
 
-// Grant gives a place. It is void once Valid has passed since the owner sent Ask.
+// Grant assigns a slot. It expires when Valid has passed since the owner sent
+// the offer with the sequence number OfferSeq.
 type Grant struct {
 	Ask    uint64          `cbor:"1,keyasint"`
 	ID     ident.RequestID `cbor:"2,keyasint"`
@@ -128,7 +139,7 @@
 	Valid  time.Duration   `cbor:"4,keyasint"`
 }
 
-// Queued says that an offer waits, and how long by estimate.
+// Queued reports that an offer is queued, with the estimated wait.
 type Queued struct {
 	Ask    uint64          `cbor:"1,keyasint"`
 	ID     ident.RequestID `cbor:"2,keyasint"`
@@ -136,30 +147,33 @@
 	Wait   time.Duration   `cbor:"4,keyasint"`
 }
 
-// Refuse turns an offer down at this target. Settled: no target of the pool
-// can take it, by the floors' exchange; the owner refuses the request.
+// Refuse rejects an offer at this target. PoolWide reports that no target of the
+// pool can accept it according to the exchange of tier floors, so the owner
+// refuses the request. A tier floor is the lowest tier that a pool admits.
 type Refuse struct {
 	ID         ident.RequestID `cbor:"1,keyasint"`
 	Target     string          `cbor:"2,keyasint"`
 	Reason     outcome.Reason  `cbor:"3,keyasint"`
 	RetryAfter time.Duration   `cbor:"4,keyasint,omitempty"`
 	Settled    bool            `cbor:"5,keyasint,omitempty"`
-	// Elsewhere names a target whose scheduler said that it can take it.
+	// Alternative is a target whose scheduler reported that it can accept the
+	// request.
 	Elsewhere string `cbor:"6,keyasint,omitempty"`
 }
 
-// Preempt tells an owner to cancel what it runs, for a higher tier's sake.
+// Preempt requests that the owner cancel a run in favour of a higher tier.
 type Preempt struct {
 	ID     ident.RequestID `cbor:"1,keyasint"`
 	Target string          `cbor:"2,keyasint"`
 }
 
-// Done tells a scheduler that a run ended, and what was seen of it.
+// Done reports the end of a run to the target's scheduler, with what was
+// measured.
 type Done struct {
 	ID     ident.RequestID `cbor:"1,keyasint"`
 	Target string          `cbor:"2,keyasint"`
 	Sample Sample          `cbor:"3,keyasint"`
-	// Result says how it ended, for the target's health.
+	// Result is how the run ended. It contributes to the target's health.
 	Result Result `cbor:"4,keyasint"`
 }
 
@@ -168,19 +182,20 @@
 
 const (
 	ResultComplete Result = iota
-	// ResultNotAdmitted: the target provably did not take it.
+	// ResultNotAdmitted means that the target provably did not accept the request.
 	ResultNotAdmitted
-	// ResultLeaving: not admitted because the target is leaving.
+	// ResultLeaving means not admitted because the target is leaving.
 	ResultLeaving
-	// ResultBroken: the target died or cut the answer.
+	// ResultAborted means that the target crashed or aborted the answer.
 	ResultBroken
-	// ResultCancelled: we cancelled it.
+	// ResultCancelled means that the owner cancelled the run.
 	ResultCancelled
-	// ResultFailed: the target lives and answered with an error of its own.
+	// ResultFailed means that the target is up and answered with an error of its
+	// own.
 	ResultFailed
 )
 
-// Sample is what one run showed of its target's speed.
+// Sample is the measurement of a target's speed in one run.
 type Sample struct {
 	PromptTokens int           `cbor:"1,keyasint"`
 	CachedTokens int           `cbor:"2,keyasint,omitempty"`
@@ -188,100 +203,111 @@
 	Tokens       int           `cbor:"4,keyasint"`
 	// StepTime is the mean time between tokens.
 	StepTime time.Duration `cbor:"5,keyasint"`
-	// Batch is the scheduler's in-flight count at the grant, 0 if not known.
+	// Batch is the scheduler's in-flight count at the grant, 0 if unknown.
 	Batch int `cbor:"6,keyasint,omitempty"`
-	// QueuedPrefill is prompt tokens of other runs that were granted and not
-	// yet computed at the grant, by the scheduler's count; 0 if not known.
+	// QueuedPrefill is the number of prompt tokens of other runs that were
+	// granted and not yet computed at the time of the grant, according to the
+	// scheduler; 0 if unknown.
 	QueuedPrefill int `cbor:"7,keyasint,omitempty"`
 }
 
-// Running lists what an entry has running at targets that the addressee
-// schedules: all of it (Full) after a takeover, else the change in progress.
+// Running lists runs of an entry at targets that the addressee schedules: all
+// of them (Full) after a takeover, otherwise one that has progressed.
 type Running struct {
 	Full bool         `cbor:"1,keyasint,omitempty"`
 	Runs []RunningOne `cbor:"2,keyasint"`
-	// Moved names the targets for whose takeover a full report is sent.
+	// TakenOver lists the targets whose takeover caused a full report.
 	Moved []string `cbor:"3,keyasint,omitempty"`
 }
 
-// RunningOne is one run at a target.
+// Run is one run at a target.
 type RunningOne struct {
 	Offer Offer `cbor:"1,keyasint"`
-	// Tokens generated so far; Started: the first token was seen.
+	// Tokens is the number of tokens generated so far. Started reports that the
+	// first token was received.
 	Tokens  int           `cbor:"2,keyasint"`
 	Started bool          `cbor:"3,keyasint"`
 	Age     time.Duration `cbor:"4,keyasint"`
 }
 
-// FloorAsk asks the schedulers of a pool for a promise: serve nothing below
-// Tier for the time For. Need describes the request that could not be placed.
+// FloorRequest requests a promise from the schedulers of a pool: to serve nothing
+// below Tier for the duration For. Need describes the request that found no slot.
 type FloorAsk struct {
 	Seq  uint64        `cbor:"1,keyasint"`
 	Pool string        `cbor:"2,keyasint"`
 	Tier request.Tier  `cbor:"3,keyasint"`
 	For  time.Duration `cbor:"4,keyasint"`
 	Need Offer         `cbor:"5,keyasint"`
-	// Last: the asker will refuse as soon as the floor stands, so lower runs that
-	// may be cancelled must be.
+	// Final reports that the requester will refuse as soon as the floor is in
+	// force, so the addressee must preempt the lower runs that may be cancelled.
 	Last bool `cbor:"6,keyasint,omitempty"`
-	// Late: the asker's request can still have a whole answer, only its first
-	// token would be late, so runs that have cost far more are spared.
+	// MissesFirstToken reports that the request can still get a complete answer
+	// and would miss only the deadline of its first token, so runs that have cost
+	// far more are spared.
 	Late bool `cbor:"7,keyasint,omitempty"`
 }
 
-// FloorReply answers a FloorAsk: either Room names a target that can take the
-// request now, or the sender promises the floor until Valid has passed since
-// the asker sent Seq.
+// FloorReply answers a FloorRequest: either FreeTarget is a target that can accept
+// the request now, or the sender promises the floor until Valid has passed since
+// the requester sent the FloorRequest with the same Seq.
 type FloorReply struct {
 	Seq   uint64        `cbor:"1,keyasint"`
 	Pool  string        `cbor:"2,keyasint"`
 	Tier  request.Tier  `cbor:"3,keyasint"`
 	Room  string        `cbor:"4,keyasint,omitempty"`
 	Valid time.Duration `cbor:"5,keyasint,omitempty"`
-	// Lower: work below Tier still runs there and cannot be cancelled; the
-	// asker waits for its end as long as its request's deadline allows.
+	// LowerRuns reports that runs below Tier at the sender's targets cannot be
+	// cancelled. The requester waits for their end as long as the deadline of
+	// its request allows.
 	Lower bool `cbor:"6,keyasint,omitempty"`
-	// Cost is what the run has cost that must be cancelled to make Room, in
-	// tokens and at least 1; 0: none must.
+	// PreemptionCost is the cost so far, in tokens and at least 1, of the run that
+	// must be preempted to free a slot at FreeTarget; 0 if none must.
 	Cost int `cbor:"7,keyasint,omitempty"`
-	// Cutting: lower runs are being cancelled there; they are gone in a moment.
+	// Preempting reports that lower runs are being preempted there and end shortly.
 	Cutting bool `cbor:"8,keyasint,omitempty"`
-	// Dear: lower runs were spared there for an ask that is Late.
+	// Spared reports that lower runs were spared there because of
+	// MissesFirstToken.
 	Dear bool `cbor:"9,keyasint,omitempty"`
 }
 
-// OwnerAsk asks the owner of an id what became of it; if the owner has never
-// seen it, the owner gives it up to the asker for good.
+// OwnerRequest requests the state of an id from its owner. An owner that has never
+// received the id transfers it to the requester permanently.
 type OwnerAsk struct {
 	Seq uint64          `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
-	// Known: the asker only wants to know what became of it, and never to run it.
+	// StateOnly marks a query for the state only: the requester never runs the
+	// request, and the id is not transferred.
 	Known bool `cbor:"3,keyasint,omitempty"`
-	// Orphan: the owner is gone; whoever schedules the target of its run answers.
+	// OwnerDeparted reports that the owner has departed. The scheduler of the
+	// target of its run answers instead.
 	Orphan bool `cbor:"5,keyasint,omitempty"`
-	// Tag tells which organisation brought the id to the asker; see owner.Tag.
+	// Tag identifies the organisation that sent the id to the requester; see
+	// owner.Tag.
 	Tag uint32 `cbor:"4,keyasint,omitempty"`
 }
 
-// Standing is what an owner says of an id.
+// IDState is the state of an id at its owner.
 type Standing uint8
 
 const (
-	// StandingVoided: never seen here; the asker alone may run it now.
+	// IDVoided means never received by the owner; only the requester may run it
+	// from now on.
 	StandingVoided Standing = iota
-	// StandingWaiting: accepted and not dispatched yet.
+	// IDWaiting means accepted and not dispatched yet.
 	StandingWaiting
-	// StandingRunning: dispatched; Token attaches to its stream.
+	// IDRunning means dispatched. Target is where its stream can be attached to.
 	StandingRunning
-	// StandingFinished: Status is final.
+	// IDFinished means that Status is final.
 	StandingFinished
-	// StandingElsewhere: given up to Delegate earlier; ask there.
+	// IDTransferred means transferred earlier to Delegate, which must be queried
+	// instead.
 	StandingElsewhere
-	// StandingExpired: the id is too old to be remembered; unknown.
+	// IDExpired means that the id is too old to be remembered; its outcome is
+	// unknown.
 	StandingExpired
 )
 
-// String returns the standing's name for operators.
+// String returns the state's name for operators.
 func (s Standing) String() string {
 	switch s {
 	case StandingVoided:
@@ -298,54 +324,57 @@
 	return "not remembered"
 }
 
-// OwnerReply answers an OwnerAsk.
+// OwnerReply answers an OwnerRequest.
 type OwnerReply struct {
 	Seq      uint64            `cbor:"1,keyasint"`
 	ID       ident.RequestID   `cbor:"2,keyasint"`
 	Standing Standing          `cbor:"3,keyasint"`
 	Status   outcome.Status    `cbor:"4,keyasint"`
 	Delegate ident.Incarnation `cbor:"5,keyasint,omitempty"`
-	// Target at which it runs or ran, to attach to its stream there.
+	// Target is where the request runs or ran, to attach to its stream.
 	Target string `cbor:"6,keyasint,omitempty"`
 }
 
-// ClaimAsk asks the home of a key's partition to claim it for a request.
+// ClaimRequest requests a claim of a key for a request from the coordinator of the
+// key's partition.
 type ClaimAsk struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
 }
 
-// ClaimReply is the home's verdict, read back from the log.
+// ClaimReply is the coordinator's decision, read back from the log.
 type ClaimReply struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
-	// Winner holds the key: ID itself, or the request that came first.
-	// Empty: the log gave no verdict.
+	// Winner holds the key: ID itself, or the request that came first. It is
+	// empty if there is no decision.
 	Winner ident.RequestID `cbor:"3,keyasint,omitempty"`
-	// Unread: no verdict, and the home could not read the partition, so another
-	// request of the key may have run earlier.
+	// Unread reports that there is no decision and that the coordinator could
+	// not read the partition, so another request with the key may have run earlier.
 	Unread bool `cbor:"4,keyasint,omitempty"`
 }
 
-// ClaimRelease asks the home to give up a claim whose request did not run.
+// ClaimRelease requests from the coordinator the release of a claim whose
+// request did not run.
 type ClaimRelease struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
 }
 
-// Suspicion shares what is known of a request that may crash targets.
+// Suspicion reports what is known of a request that may crash targets.
 type Suspicion struct {
 	Fingerprint request.Fingerprint `cbor:"1,keyasint"`
-	// Deaths are targets that died while they ran it, with the death's id.
+	// Crashes are the crashes of targets that were running the request, each as
+	// the target with the id of the crash.
 	Deaths    []string `cbor:"2,keyasint"`
 	Convicted bool     `cbor:"3,keyasint"`
 	Cleared   bool     `cbor:"4,keyasint,omitempty"`
 }
 
-// DocumentAsk asks a peer for the document in force there.
+// DocumentRequest requests the document in force at a peer.
 type DocumentAsk struct{}
 
-// DocumentReply carries the accepted document with its version.
+// DocumentReply contains the accepted document and its version.
 type DocumentReply struct {
 	Version int64  `cbor:"1,keyasint"`
 	Data    []byte `cbor:"2,keyasint"`
