--- a/internal/core/document/check.go
+++ b/internal/core/document/check.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sizes that a document may have. They bound what an entry holds of it.
+// Maximum sizes of a document, which bound its memory at an entry.
 const (
 	MaxTiers         = 16
 	MaxOrganisations = 100_000
@@ -23,24 +23,24 @@
 	MaxCommentLength = 4096
 )
 
-// Bounds of numbers.
+// Bounds of numbers in a document.
 const (
 	maxMS    = int(7 * 24 * time.Hour / time.Millisecond)
 	maxBytes = 1 << 30
 	maxCount = 10_000_000
-	// keyHashLength is the length of a SHA-256 in hex digits.
+	// keyHashLength is the length of a SHA-256 hash in hex digits.
 	keyHashLength = 64
 )
 
-// retentionMargin is the part of the log's retention that the claim horizon
-// must leave free. A claim is read back only while the log keeps it; the
-// margin covers readers that lag and appends that land late.
+// retentionMargin divides the log's retention into the part by which the claim
+// horizon must be shorter. A claim can be read back only while the log keeps it;
+// the margin covers readers that lag and appends that reach the log late.
 const retentionMargin = 4
 
-// Check lists everything wrong with the document; none: it may be accepted.
+// Check returns the faults of the document. A document without faults is valid.
 func (d *Document) Check() Faults {
 	c := checker{doc: d, index: NewIndex(d)}
-	c.head()
+	c.header()
 	c.tiers()
 	c.organisations()
 	c.pools()
@@ -61,7 +61,7 @@
 	faults Faults
 }
 
-func (c *checker) head() {
+func (c *checker) header() {
 	d := c.doc
 	if d.Schema != Schema {
 		c.faults.add("schema", fmt.Sprintf("write %d", Schema), "this build reads schema %d, not %d", Schema, d.Schema)
@@ -75,8 +75,8 @@
 	}
 }
 
-// name checks the form of a name. Names appear in paths, headers, metrics and
-// logs, so they keep to characters that are safe in all of them.
+// name checks the syntax of a name. Names appear in paths, headers, metrics and
+// logs, so they may only contain characters that are safe in all of them.
 func (c *checker) name(path, name string) {
 	if name == "" {
 		c.faults.add(path, "give it one", "has no name")
@@ -87,20 +87,20 @@
 		return
 	}
 	for i := 0; i < len(name); i++ {
-		if !nameByte(name[i]) {
+		if !isNameByte(name[i]) {
 			c.faults.add(path, "use letters, digits, '.', '_' and '-' only", "name %q has a character that is not allowed", name)
 			return
 		}
 	}
 }
 
-func nameByte(b byte) bool {
+func isNameByte(b byte) bool {
 	letter := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z'
 	digit := b >= '0' && b <= '9'
 	return letter || digit || b == '.' || b == '_' || b == '-'
 }
 
-// names checks the names of one list and that no two are the same.
+// names checks the names of one list and that they are unique.
 func (c *checker) names(list string, n, limit int, nameOf func(int) string) {
 	if n > limit {
 		c.faults.add(list, fmt.Sprintf("keep it to %d", limit), "has %d members", n)
@@ -120,15 +120,15 @@
 
 func element(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
-// known checks a reference.
-func (c *checker) known(path, what, name string, found bool) {
+// checkFound adds a fault if the name of a reference was not found.
+func (c *checker) checkFound(path, what, name string, found bool) {
 	if !found {
 		c.faults.add(path, "name one that the document lists, or add it", "no %s is called %q", what, name)
 	}
 }
 
-// between checks that a whole number lies within bounds.
-func (c *checker) between(path string, value, low, high int) {
+// inRange checks that an integer is between low and high.
+func (c *checker) inRange(path string, value, low, high int) {
 	if value < low || value > high {
 		c.faults.add(path, fmt.Sprintf("write a number from %d to %d", low, high), "%d is out of bounds", value)
 	}
@@ -142,8 +142,8 @@
 	c.names("tiers", len(d.Tiers), MaxTiers, func(i int) string { return d.Tiers[i].Name })
 	for i := range d.Tiers {
 		path, tier := element("tiers", i), &d.Tiers[i]
-		c.between(path+".deadline_ms", tier.DeadlineMS, 1, maxMS)
-		c.between(path+".first_token_ms", tier.FirstTokenMS, 0, maxMS)
+		c.inRange(path+".deadline_ms", tier.DeadlineMS, 1, maxMS)
+		c.inRange(path+".first_token_ms", tier.FirstTokenMS, 0, maxMS)
 		if tier.DeadlineMS > d.Limits.DeadlineMS {
 			c.faults.add(path+".deadline_ms", "lower it, or raise limits.deadline_ms", "%d ms is more than limits.deadline_ms, %d", tier.DeadlineMS, d.Limits.DeadlineMS)
 		}
@@ -158,8 +158,9 @@
 	c.names("pools", len(d.Pools), MaxPools, func(i int) string { return d.Pools[i].Name })
 }
 
-// address checks host:port by number. Names are refused: an entry would have
-// to resolve them while it decides, and the answer could differ between entries.
+// address checks that an address consists of an IP address and a port, and is
+// unique. Host names are not allowed: an entry would have to resolve them while it
+// schedules, and the result could differ between entries.
 func (c *checker) address(path, address string, first map[netip.AddrPort]int, i int) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().Zone() != "" || parsed.Addr().IsUnspecified() {
@@ -182,9 +183,9 @@
 	for i := range d.Targets {
 		path, target := element("targets", i), &d.Targets[i]
 		_, poolFound := c.index.Pool(target.Pool)
-		c.known(path+".pool", "pool", target.Pool, poolFound)
+		c.checkFound(path+".pool", "pool", target.Pool, poolFound)
 		class, classFound := c.index.Class(target.Class)
-		c.known(path+".class", "class", target.Class, classFound)
+		c.checkFound(path+".class", "class", target.Class, classFound)
 		c.name(path+".zone", target.Zone)
 		c.address(path+".address", target.Address, addresses, i)
 		if !classFound {
--- a/internal/core/document/check_uses.go
+++ b/internal/core/document/check_uses.go
@@ -9,22 +9,22 @@
 	for i := range d.Organisations {
 		path, org := element("organisations", i), &d.Organisations[i]
 		c.keyHashes(path, org, owners, i)
-		c.organisationUses(path, org)
+		c.organisationReferences(path, org)
 		if !(org.Weight > 0 && org.Weight <= maxCount) {
 			c.faults.add(path+".weight", "write a number above 0; 1 is usual", "%v is no share", org.Weight)
 		}
-		c.between(path+".max_in_flight", org.MaxInFlight, 0, maxCount)
+		c.inRange(path+".max_in_flight", org.MaxInFlight, 0, maxCount)
 	}
 }
 
-// keyHashes checks that a bearer token leads to one organisation only: were a
-// hash listed twice, one customer's requests would count as another's.
+// keyHashes checks the key hashes of an organisation, and that each belongs to
+// one organisation only. Otherwise one customer's requests would count as another's.
 func (c *checker) keyHashes(path string, org *Organisation, owners map[string]int, i int) {
 	if len(org.KeyHashes) == 0 || len(org.KeyHashes) > MaxKeyHashes {
 		c.faults.add(path+".key_hashes", "list the hex SHA-256 of its bearer tokens", "has %d hashes, of 1 to %d", len(org.KeyHashes), MaxKeyHashes)
 	}
 	for j, hash := range org.KeyHashes {
-		if !keyHash(hash) {
+		if !isKeyHash(hash) {
 			c.faults.add(element(path+".key_hashes", j), "write the SHA-256 of the token, never the token", "is not %d hex digits in lower case", keyHashLength)
 			continue
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-func keyHash(hash string) bool {
+func isKeyHash(hash string) bool {
 	if len(hash) != keyHashLength {
 		return false
 	}
@@ -50,7 +50,7 @@
 	return true
 }
 
-func (c *checker) organisationUses(path string, org *Organisation) {
+func (c *checker) organisationReferences(path string, org *Organisation) {
 	if len(org.Tiers) == 0 {
 		c.faults.add(path+".tiers", "list at least one; the first is used when a request names none", "is empty")
 	}
@@ -68,23 +68,24 @@
 	})
 }
 
-// references checks a list of names: each known, none twice.
+// references checks that each name of a list is found and listed only once.
 func (c *checker) references(path, what string, names []string, found func(string) bool) {
 	for i, name := range names {
 		if !found(name) {
-			c.known(element(path, i), what, name, false)
+			c.checkFound(element(path, i), what, name, false)
 		}
-		if earlier := slices.Index(names[:min(i, maxScan)], name); earlier >= 0 {
+		if earlier := slices.Index(names[:min(i, maxReferences)], name); earlier >= 0 {
 			c.faults.add(element(path, i), "name it once", "%q stands at %s too", name, element(path, earlier))
 		}
 	}
-	if len(names) > maxScan {
-		c.faults.add(path, "name each once", "has %d members, more than %d", len(names), maxScan)
+	if len(names) > maxReferences {
+		c.faults.add(path, "name each once", "has %d members, more than %d", len(names), maxReferences)
 	}
 }
 
-// maxScan bounds a list of references, and so the search in it for doubles.
-const maxScan = MaxModels
+// maxReferences bounds the length of a list of references, and thereby the cost of
+// searching it for duplicates.
+const maxReferences = MaxModels
 
 func (c *checker) models() {
 	d := c.doc
@@ -92,8 +93,8 @@
 	ordered := make(map[string]int, len(d.Pools))
 	for i := range d.Models {
 		path, model := element("models", i), &d.Models[i]
-		c.poolOf(path, model.Pool, KindEngine)
-		c.between(path+".context_tokens", model.ContextTokens, 1, maxCount)
+		c.poolReference(path, model.Pool, KindEngine)
+		c.inRange(path+".context_tokens", model.ContextTokens, 1, maxCount)
 		c.adapters(path, model)
 		if model.Version == "" {
 			continue
@@ -116,12 +117,12 @@
 		c.name(element(path+".adapters", i), name)
 	}
 	c.references(path+".adapters", "adapter", model.Adapters, func(string) bool { return true })
-	if len(model.Adapters) > 0 && !c.poolOrdered(model.Pool) {
+	if len(model.Adapters) > 0 && !c.poolHasVersion(model.Pool) {
 		c.faults.add(path+".adapters", "give a model of the pool a version", "pool %q is ordered to hold no model that could have adapters", model.Pool)
 	}
 }
 
-func (c *checker) poolOrdered(pool string) bool {
+func (c *checker) poolHasVersion(pool string) bool {
 	return slices.ContainsFunc(c.doc.Models, func(m Model) bool { return m.Pool == pool && m.Version != "" })
 }
 
@@ -130,9 +131,9 @@
 	c.names("services", len(d.Services), MaxServices, func(i int) string { return d.Services[i].Name })
 	for i := range d.Services {
 		path, service := element("services", i), &d.Services[i]
-		c.poolOf(path, service.Pool, KindService)
+		c.poolReference(path, service.Pool, KindService)
 		for j, method := range service.Repeatable {
-			if !methodName(method) {
+			if !isMethodName(method) {
 				c.faults.add(element(path+".repeatable", j), "write an HTTP method such as GET", "%q is not a method in capital letters", method)
 			}
 		}
@@ -140,7 +141,7 @@
 	}
 }
 
-func methodName(s string) bool {
+func isMethodName(s string) bool {
 	if s == "" || len(s) > MaxNameLength {
 		return false
 	}
@@ -152,11 +153,12 @@
 	return true
 }
 
-// poolOf checks that a model's or service's pool exists and that its targets
-// are of the right kind. A pool without targets fits both: it may be growing.
-func (c *checker) poolOf(path, pool string, kind TargetKind) {
+// poolReference checks that the pool of a model or service exists and that its
+// targets are of the given kind. A pool without targets is accepted for both kinds,
+// since targets may be added later.
+func (c *checker) poolReference(path, pool string, kind TargetKind) {
 	if _, found := c.index.Pool(pool); !found {
-		c.known(path+".pool", "pool", pool, false)
+		c.checkFound(path+".pool", "pool", pool, false)
 		return
 	}
 	for _, target := range c.index.Targets(pool) {
@@ -176,7 +178,7 @@
 		if class.Kind != KindEngine && class.Kind != KindService {
 			c.faults.add(path+".kind", "write engine or service", "%q is no kind of target", class.Kind)
 		}
-		c.between(path+".max_in_flight", class.MaxInFlight, 1, maxCount)
+		c.inRange(path+".max_in_flight", class.MaxInFlight, 1, maxCount)
 		c.estimate(path+".prefill_rate", class.PrefillRate, class.Kind)
 		c.estimate(path+".step_ms", class.StepMS, class.Kind)
 	}
--- a/internal/core/document/defaults.go
+++ b/internal/core/document/defaults.go
@@ -1,19 +1,19 @@
 package document
 
-// Defaults of optional numbers. A number that the file leaves out takes the
-// default; one that is written, also 0, stands as written and is checked.
+// Defaults of optional numbers. They apply to numbers that the file omits. A number
+// in the file, including 0, is kept and checked.
 const (
 	DefaultTierDeadlineMS = 30_000
 	DefaultWeight         = 1
 	DefaultContextTokens  = 8192
 	DefaultMaxInFlight    = 16
-	// DefaultPrefillRate (tokens/s) and DefaultStepMS are first estimates of an
-	// engine; 0 in the file means them too, since a speed of 0 has no sense.
+	// DefaultPrefillRate (tokens/s) and DefaultStepMS are the initial estimates of
+	// an engine. They also replace 0 in the file, since a speed of 0 is meaningless.
 	DefaultPrefillRate = 4000
 	DefaultStepMS      = 28
 )
 
-// DefaultLimits are the limits that a document leaves out.
+// DefaultLimits returns the limits of a document that omits them.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:      1 << 20,
@@ -27,7 +27,7 @@
 	}
 }
 
-// DefaultRefusal holds the rules of refusing that a document leaves out.
+// DefaultRefusal returns the refusal settings of a document that omits them.
 func DefaultRefusal() Refusal {
 	return Refusal{
 		RetryAfterMinMS:   200,
@@ -39,12 +39,12 @@
 	}
 }
 
-// DefaultShutdown holds the rules of planned stops that a document leaves out.
+// DefaultShutdown returns the shutdown settings of a document that omits them.
 func DefaultShutdown() Shutdown {
 	return Shutdown{DrainMS: 30_000, EntriesTTLMS: 5_000}
 }
 
-// DefaultTiming holds the intervals that a document leaves out.
+// DefaultTiming returns the intervals of a document that omits them.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatMS:    200,
--- a/internal/core/document/diff.go
+++ b/internal/core/document/diff.go
@@ -7,21 +7,21 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Change is one difference between two documents, with values as JSON text.
-// Before is empty where something was added, After where it was removed.
+// Change is one difference between two documents, with values as JSON. Before is
+// empty if something was added, After if it was removed.
 type Change struct {
-	// Path names list members by their name, such as targets[ncr-a-1].leaving,
-	// so that an insertion does not show as a change of all that follow.
+	// Path identifies list members by name, such as targets[ncr-a-1].leaving, so
+	// that an insertion does not appear as a change of all later members.
 	Path   string `json:"path"`
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// orderSuffix marks the path of a list whose members changed their order.
+// orderSuffix is appended to the path of a list whose members changed their order.
 const orderSuffix = ".order"
 
-// Diff lists what differs between a and b, in the order of the types; members
-// that only b has come after those of a.
+// Diff returns the differences between a and b, in the order of the fields. Members
+// that only b has follow those of a.
 func Diff(a, b *Document) []Change {
 	var out []Change
 	diffStruct(&out, "", reflect.ValueOf(*a), reflect.ValueOf(*b))
@@ -44,15 +44,15 @@
 		diffStruct(out, path+".", a, b)
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
 		diffList(out, path, a, b)
-	case text(a) != text(b):
-		*out = append(*out, Change{Path: path, Before: text(a), After: text(b)})
+	case jsonText(a) != jsonText(b):
+		*out = append(*out, Change{Path: path, Before: jsonText(a), After: jsonText(b)})
 	}
 }
 
-// diffList compares two lists of structs, whose first field is their name.
+// diffList compares two lists of structs whose first field is their name.
 func diffList(out *[]Change, path string, a, b reflect.Value) {
-	inB := positions(b)
-	inA := positions(a)
+	inB := indexByName(b)
+	inA := indexByName(a)
 	var common []string
 	for i := range a.Len() {
 		name := a.Index(i).Field(0).String()
@@ -62,7 +62,7 @@
 			common = append(common, name)
 			continue
 		}
-		*out = append(*out, Change{Path: member, Before: text(a.Index(i))})
+		*out = append(*out, Change{Path: member, Before: jsonText(a.Index(i))})
 	}
 	var commonInB []string
 	for j := range b.Len() {
@@ -71,7 +71,7 @@
 			commonInB = append(commonInB, name)
 			continue
 		}
-		*out = append(*out, Change{Path: path + "[" + name + "]", After: text(b.Index(j))})
+		*out = append(*out, Change{Path: path + "[" + name + "]", After: jsonText(b.Index(j))})
 	}
 	before, after := strings.Join(common, ", "), strings.Join(commonInB, ", ")
 	if before != after {
@@ -79,7 +79,7 @@
 	}
 }
 
-func positions(list reflect.Value) map[string]int {
+func indexByName(list reflect.Value) map[string]int {
 	out := make(map[string]int, list.Len())
 	for i := range list.Len() {
 		out[list.Index(i).Field(0).String()] = i
@@ -87,8 +87,9 @@
 	return out
 }
 
-// text is the JSON of a value, which cannot fail for the document's types.
-func text(v reflect.Value) string {
+// jsonText returns the JSON of a value. Encoding cannot fail for the document's
+// types.
+func jsonText(v reflect.Value) string {
 	data, err := json.Marshal(v.Interface(), json.Deterministic(true))
 	if err != nil {
 		return err.Error()
--- a/internal/core/document/document.go
+++ b/internal/core/document/document.go
@@ -1,6 +1,6 @@
-// Package document defines the one document in which operators declare their
-// whole intent, and checks it. It is the only place where a document is judged:
-// the console, the client and every entry use the same check.
+// Package document defines the document that contains the complete configuration
+// declared by the operators, and its checks. The console, the client and every
+// entry use the same checks.
 package document
 
 import (
@@ -9,16 +9,17 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Schema is the version of the document's form that this build understands.
+// Schema is the version of the document's schema that this build supports.
 const Schema = 1
 
-// Document is the operators' whole intent. JSON names are those of the file.
+// Document is the complete configuration. JSON names are those of the file.
 type Document struct {
 	// Schema must equal the constant Schema.
 	Schema int `json:"schema"`
-	// ID is unique for each publication; a second record with it is ignored.
+	// ID is unique for each publication. A second record with the same ID is
+	// ignored.
 	ID string `json:"id"`
-	// Base is the version (log offset) that the author started from; 0: none.
+	// Base is the version (log offset) that the author started from, 0 if none.
 	Base int64 `json:"base"`
 	// Comment is the author's note.
 	Comment string `json:"comment,omitempty"`
@@ -40,8 +41,9 @@
 // Tier is a class of importance.
 type Tier struct {
 	Name string `json:"name"`
-	// FirstToken bounds the time to the first token, Deadline the whole answer,
-	// for requests that bring no deadline of their own. Milliseconds.
+	// FirstTokenMS bounds the time to the first token, DeadlineMS the time to the
+	// complete answer, in milliseconds, for requests without a deadline of their
+	// own.
 	FirstTokenMS int `json:"first_token_ms"`
 	DeadlineMS   int `json:"deadline_ms"`
 }
@@ -51,14 +53,15 @@
 	Name string `json:"name"`
 	// KeyHashes are hex SHA-256 of the bearer tokens that identify it.
 	KeyHashes []string `json:"key_hashes"`
-	// Tiers it may ask for; the first is used when a request names none.
+	// Tiers are those that it may request. The first is used if a request names
+	// none.
 	Tiers []string `json:"tiers"`
-	// Models and Services it may use.
+	// Models and Services are those that it may use.
 	Models   []string `json:"models"`
 	Services []string `json:"services,omitempty"`
-	// Weight is its share within a tier; 1 is usual.
+	// Weight is its relative share within a tier, typically 1.
 	Weight float64 `json:"weight"`
-	// MaxInFlight bounds its requests at one entry; 0: no bound.
+	// MaxInFlight bounds its requests in flight at one entry; 0 means no bound.
 	MaxInFlight int `json:"max_in_flight,omitempty"`
 }
 
@@ -71,11 +74,11 @@
 type Model struct {
 	Name string `json:"name"`
 	Pool string `json:"pool"`
-	// Version and Adapters are what the pool's targets are ordered to hold;
-	// an empty version leaves the targets as they are.
+	// Version and Adapters are what the pool's targets are ordered to hold. If
+	// Version is empty, the targets receive no orders.
 	Version  string   `json:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
-	// ContextTokens bounds prompt and answer together.
+	// ContextTokens bounds the tokens of prompt and answer together.
 	ContextTokens int `json:"context_tokens"`
 }
 
@@ -88,7 +91,7 @@
 	Repeatable []string `json:"repeatable"`
 }
 
-// TargetKind is what sort of back end a class describes.
+// TargetKind is the kind of target that a class describes.
 type TargetKind string
 
 const (
@@ -96,19 +99,20 @@
 	KindService TargetKind = "service"
 )
 
-// Class describes targets of one make.
+// Class describes targets of one type.
 type Class struct {
 	Name string     `json:"name"`
 	Kind TargetKind `json:"kind"`
-	// MaxInFlight bounds what is dispatched to one target at a time.
+	// MaxInFlight bounds the requests in flight at one target.
 	MaxInFlight int `json:"max_in_flight"`
-	// PrefillRate (tokens/s) and StepMS (ms between tokens) are the first
-	// estimate, until streams have shown better.
+	// PrefillRate (tokens/s) and StepMS (ms between tokens) are the initial
+	// estimates, used until they are measured from streams.
 	PrefillRate float64 `json:"prefill_rate,omitempty"`
 	StepMS      float64 `json:"step_ms,omitempty"`
-	// ChecksFencing: the target refuses an order with an old fencing number.
+	// ChecksFencing reports that targets reject an order with an old fencing
+	// number.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// ExportsKV: the target can export and import KV cache.
+	// ExportsKV reports that targets can export and import KV cache.
 	ExportsKV bool `json:"exports_kv,omitempty"`
 }
 
@@ -118,69 +122,74 @@
 	Pool  string `json:"pool"`
 	Class string `json:"class"`
 	Zone  string `json:"zone"`
-	// Address is host:port, by IP number.
+	// Address is host:port, where host is an IP address.
 	Address string `json:"address"`
-	// Leaving: the operator wants it emptied; it gets nothing new.
+	// Leaving reports that the operator drains the target, which gets no new
+	// requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Limits bound what callers may bring and what an entry holds.
+// Limits bound the requests of callers and the resources of an entry.
 type Limits struct {
 	BodyBytes      int `json:"body_bytes"`
 	HeaderBytes    int `json:"header_bytes"`
 	Connections    int `json:"connections"`
-	InFlight       int `json:"in_flight"`        // per entry, requests accepted and not settled
-	QueuePerTarget int `json:"queue_per_target"` // offers waiting at one target's scheduler
+	InFlight       int `json:"in_flight"`        // requests accepted and not settled, per entry
+	QueuePerTarget int `json:"queue_per_target"` // offers queued at one target's scheduler
 	RememberedIDs  int `json:"remembered_ids"`   // per entry
-	DeadlineMS     int `json:"deadline_ms"`      // the longest that a caller may ask for
-	StreamBytes    int `json:"stream_bytes"`     // answer held per request for re-reading
+	DeadlineMS     int `json:"deadline_ms"`      // longest deadline that a caller may request
+	StreamBytes    int `json:"stream_bytes"`     // buffered answer per request, for re-reading
 }
 
-// Refusal holds the rules of refusing.
+// Refusal configures admission control and load shedding.
 type Refusal struct {
 	RetryAfterMinMS int `json:"retry_after_min_ms"`
 	RetryAfterMaxMS int `json:"retry_after_max_ms"`
-	// Early: refuse at once what the estimate says cannot be in time.
+	// Early enables refusing a request at once if it cannot meet its deadline
+	// according to the estimate.
 	Early bool `json:"early"`
-	// Preempt: cancel lower repeatable work for a higher tier's sake.
+	// Preempt enables cancelling idempotent runs of lower tiers in favour of a
+	// higher tier.
 	Preempt bool `json:"preempt"`
-	// FloorMS is how long a floor stands.
+	// FloorMS is how long a tier floor, the lowest tier that a pool admits, is in
+	// force.
 	FloorMS int `json:"floor_ms"`
-	// ShortPromptTokens: requests up to this size are short; ShortShare is the
-	// part of each target's places kept for them.
+	// ShortPromptTokens is the largest prompt of a short request. ShortShare is
+	// the part of each target's slots that is reserved for short requests.
 	ShortPromptTokens int     `json:"short_prompt_tokens"`
 	ShortShare        float64 `json:"short_share"`
-	// PrefillBudget bounds prompt tokens in flight per target; 0: no bound.
+	// PrefillBudget bounds the prompt tokens in flight per target; 0 means no bound.
 	PrefillBudget int `json:"prefill_budget"`
 }
 
-// Shutdown holds the rules of planned stops.
+// Shutdown configures planned stops.
 type Shutdown struct {
-	// DrainMS bounds a drain; past it the entry reports what it still holds
-	// and goes on waiting (nothing in flight is cut).
+	// DrainMS bounds a drain. After that time the entry reports its remaining
+	// requests and continues to wait; no request in flight is aborted.
 	DrainMS int `json:"drain_ms"`
-	// EntriesTTLMS is how long an answer to "which entry" is good.
+	// EntriesTTLMS is how long an answer with the list of entries is valid.
 	EntriesTTLMS int `json:"entries_ttl_ms"`
 }
 
 // Timing holds the intervals of the protocol between entries.
 type Timing struct {
 	HeartbeatMS int `json:"heartbeat_ms"`
-	// SilenceMS: a peer not heard from for so long loses its targets.
+	// SilenceMS is the failure-detection timeout: a peer without contact for so
+	// long loses its targets.
 	SilenceMS int `json:"silence_ms"`
-	// GrantMS: a grant is void this long after its ask was sent.
+	// GrantMS is how long a grant is valid after its offer was sent.
 	GrantMS int `json:"grant_ms"`
-	// ClaimHorizonMS: how long a claimed key is remembered; must stay below
+	// ClaimHorizonMS is how long a claimed key is remembered. It must be below
 	// the log's retention less a margin.
 	ClaimHorizonMS int `json:"claim_horizon_ms"`
 	// RetentionMS is how long the platform's log keeps a record.
 	RetentionMS int `json:"retention_ms"`
 }
 
-// Milliseconds turns a field in milliseconds into a duration.
+// Milliseconds converts a field in milliseconds to a duration.
 func Milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// TierRank finds a tier's rank by its name.
+// TierRank returns the rank of the tier with the given name.
 func (d *Document) TierRank(name string) (request.Tier, bool) {
 	for i := range d.Tiers {
 		if d.Tiers[i].Name == name {
--- a/internal/core/document/document_test.go
+++ b/internal/core/document/document_test.go
@@ -24,8 +24,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// sound is a small document without faults.
-func sound() *document.Document {
+// validDocument returns a small document without faults.
+func validDocument() *document.Document {
 	return &document.Document{
 		Schema: document.Schema,
 		ID:     "d1",
@@ -53,14 +53,14 @@
 	}
 }
 
-var _ = It("finds no fault in a sound document", func() {
-	Expect(sound().Check().Err()).NotTo(HaveOccurred())
+var _ = It("finds no fault in a valid document", func() {
+	Expect(validDocument().Check().Err()).NotTo(HaveOccurred())
 })
 
 var _ = DescribeTable("finds a fault and its path",
-	func(spoil func(*document.Document), paths ...string) {
-		d := sound()
-		spoil(d)
+	func(mutate func(*document.Document), paths ...string) {
+		d := validDocument()
+		mutate(d)
 		var found []string
 		for _, f := range d.Check() {
 			Expect(f.Problem).NotTo(BeEmpty())
@@ -84,26 +84,26 @@
 	Entry("first token after the deadline", func(d *document.Document) { d.Tiers[0].FirstTokenMS = 4001 }, "tiers[0].first_token_ms"),
 	Entry("tier without a deadline", func(d *document.Document) { d.Tiers[1].DeadlineMS = 0 }, "tiers[1].deadline_ms"),
 	Entry("same name", func(d *document.Document) { d.Organisations[1].Name = "acme" }, "organisations[1].name"),
-	Entry("name's form", func(d *document.Document) { d.Pools[0].Name = "a b" },
+	Entry("name's syntax", func(d *document.Document) { d.Pools[0].Name = "a b" },
 		"pools[0].name", "models[0].pool", "models[1].pool", "targets[0].pool", "targets[1].pool"),
 	Entry("name's length", func(d *document.Document) { d.Organisations[0].Name = string(make([]byte, 65)) }, "organisations[0].name"),
 	Entry("key hash in capitals", func(d *document.Document) { d.Organisations[0].KeyHashes[0] = "A" + hash("a")[1:] }, "organisations[0].key_hashes[0]"),
 	Entry("a token instead of its hash", func(d *document.Document) { d.Organisations[0].KeyHashes[0] = "secret" }, "organisations[0].key_hashes[0]"),
 	Entry("no key hash", func(d *document.Document) { d.Organisations[0].KeyHashes = nil }, "organisations[0].key_hashes"),
-	Entry("key hash of two", func(d *document.Document) { d.Organisations[1].KeyHashes = []string{hash("b"), hash("a")} }, "organisations[1].key_hashes[1]"),
+	Entry("key hash of two organisations", func(d *document.Document) { d.Organisations[1].KeyHashes = []string{hash("b"), hash("a")} }, "organisations[1].key_hashes[1]"),
 	Entry("unknown tier", func(d *document.Document) { d.Organisations[1].Tiers = []string{"low", "x"} }, "organisations[1].tiers[1]"),
 	Entry("tier twice", func(d *document.Document) { d.Organisations[1].Tiers = []string{"low", "low"} }, "organisations[1].tiers[1]"),
 	Entry("no tier", func(d *document.Document) { d.Organisations[1].Tiers = nil }, "organisations[1].tiers"),
 	Entry("unknown model", func(d *document.Document) { d.Organisations[0].Models[0] = "x" }, "organisations[0].models[0]"),
 	Entry("unknown service", func(d *document.Document) { d.Organisations[0].Services[0] = "x" }, "organisations[0].services[0]"),
 	Entry("weight 0", func(d *document.Document) { d.Organisations[0].Weight = 0 }, "organisations[0].weight"),
-	Entry("weight is no number", func(d *document.Document) { d.Organisations[0].Weight = math.NaN() }, "organisations[0].weight"),
+	Entry("weight is not a number", func(d *document.Document) { d.Organisations[0].Weight = math.NaN() }, "organisations[0].weight"),
 	Entry("in flight below 0", func(d *document.Document) { d.Organisations[0].MaxInFlight = -1 }, "organisations[0].max_in_flight"),
 	Entry("unknown pool", func(d *document.Document) { d.Models[1].Pool = "x" }, "models[1].pool"),
 	Entry("model in a pool of services", func(d *document.Document) { d.Models[1].Pool = "services" }, "models[1].pool"),
 	Entry("service in a pool of engines", func(d *document.Document) { d.Services[0].Pool = "engines" }, "services[0].pool"),
 	Entry("two versions in a pool", func(d *document.Document) { d.Models[1].Version = "1" }, "models[1].version"),
-	Entry("adapters of no version", func(d *document.Document) { d.Models[0].Version, d.Models[1].Adapters = "", []string{"a"} }, "models[1].adapters"),
+	Entry("adapters without a version", func(d *document.Document) { d.Models[0].Version, d.Models[1].Adapters = "", []string{"a"} }, "models[1].adapters"),
 	Entry("adapter twice", func(d *document.Document) { d.Models[0].Adapters = []string{"a", "a"} }, "models[0].adapters[1]"),
 	Entry("context", func(d *document.Document) { d.Models[0].ContextTokens = 0 }, "models[0].context_tokens"),
 	Entry("method", func(d *document.Document) { d.Services[0].Repeatable = []string{"get"} }, "services[0].repeatable[0]"),
@@ -125,13 +125,13 @@
 		"limits.queue_per_target", "limits.remembered_ids", "limits.stream_bytes"),
 	Entry("remembered ids", func(d *document.Document) { d.Limits.RememberedIDs = 10 }, "limits.remembered_ids"),
 	Entry("retry after", func(d *document.Document) { d.Refusal.RetryAfterMinMS = 4000 }, "refusal.retry_after_min_ms"),
-	Entry("no room for long requests", func(d *document.Document) { d.Refusal.ShortShare = 1 }, "refusal.short_share"),
+	Entry("no slots for long requests", func(d *document.Document) { d.Refusal.ShortShare = 1 }, "refusal.short_share"),
 	Entry("refusal", func(d *document.Document) { d.Refusal.FloorMS, d.Refusal.PrefillBudget = 0, -1 }, "refusal.floor_ms", "refusal.prefill_budget"),
 	Entry("drain", func(d *document.Document) { d.Shutdown.DrainMS = 5000 }, "shutdown.drain_ms"),
 	Entry("silence", func(d *document.Document) { d.Timing.HeartbeatMS = 800 }, "timing.silence_ms"),
 	Entry("grant", func(d *document.Document) { d.Timing.GrantMS = 1500 }, "timing.grant_ms"),
-	Entry("claims outlive the log's margin", func(d *document.Document) { d.Timing.ClaimHorizonMS = 10_800_000 }, "timing.claim_horizon_ms"),
-	Entry("claims shorter than a request", func(d *document.Document) { d.Timing.ClaimHorizonMS = 120_000 }, "timing.claim_horizon_ms"),
+	Entry("claim horizon within the log's margin", func(d *document.Document) { d.Timing.ClaimHorizonMS = 10_800_000 }, "timing.claim_horizon_ms"),
+	Entry("claim horizon shorter than a request", func(d *document.Document) { d.Timing.ClaimHorizonMS = 120_000 }, "timing.claim_horizon_ms"),
 )
 
 var _ = Describe("reading", func() {
@@ -145,11 +145,11 @@
 		Entry("a name twice", `{"schema":1,"schema":1}`),
 		Entry("data after the end", `{"schema":1}{}`),
 		Entry("a number out of range", `{"schema":1e99}`),
-		Entry("a text for a number", `{"schema":"1"}`),
+		Entry("a string for a number", `{"schema":"1"}`),
 		Entry("nothing", ``),
 	)
 
-	It("gives numbers that are left out their defaults, and keeps those that are 0", func() {
+	It("sets omitted numbers to their defaults and keeps those that are 0", func() {
 		d, err := document.Parse([]byte(`{"tiers":[{"name":"a"}],"organisations":[{"name":"a"},{"name":"b","weight":0}],
 			"models":[{"name":"a"}],"classes":[{"name":"a","kind":"engine"},{"name":"b","kind":"service","max_in_flight":0}],
 			"timing":{"grant_ms":0}}`))
@@ -166,13 +166,13 @@
 		Expect(d.Limits).To(Equal(document.DefaultLimits()))
 	})
 
-	It("gives back what was encoded, in the same bytes", func() {
+	It("restores an encoded document, which encodes to the same bytes", func() {
 		for _, encode := range []func(*document.Document) ([]byte, error){document.Encode, document.EncodeIndent} {
-			data, err := encode(sound())
+			data, err := encode(validDocument())
 			Expect(err).NotTo(HaveOccurred())
 			d, err := document.Parse(data)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(document.Diff(sound(), d)).To(BeEmpty())
+			Expect(document.Diff(validDocument(), d)).To(BeEmpty())
 			again, err := encode(d)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again).To(Equal(data))
@@ -180,13 +180,13 @@
 	})
 })
 
-var _ = It("lists what changed, by names", func() {
-	d := sound()
+var _ = It("lists changes by name", func() {
+	d := validDocument()
 	d.Timing.GrantMS = 300
 	d.Organisations[0].Weight = 3
 	d.Targets = append(d.Targets[1:], document.Target{Name: "e3"})
 	d.Tiers[0], d.Tiers[1] = d.Tiers[1], d.Tiers[0]
-	changes := document.Diff(sound(), d)
+	changes := document.Diff(validDocument(), d)
 	Expect(changes).To(HaveLen(5))
 	Expect(changes[0]).To(Equal(document.Change{Path: "tiers.order", Before: "high, low", After: "low, high"}))
 	Expect(changes[1]).To(Equal(document.Change{Path: "organisations[acme].weight", Before: "1", After: "3"}))
@@ -197,8 +197,8 @@
 	Expect(changes[4]).To(Equal(document.Change{Path: "timing.grant_ms", Before: "400", After: "300"}))
 })
 
-var _ = It("finds what an index holds", func() {
-	x := document.NewIndex(sound())
+var _ = It("finds the members of a document by its index", func() {
+	x := document.NewIndex(validDocument())
 	o, found := x.OrganisationByKeyHash(hash("b"))
 	Expect(found).To(BeTrue())
 	Expect(o.Name).To(Equal("bolt"))
@@ -214,9 +214,9 @@
 	Expect(class.Name).To(Equal("v"))
 })
 
-// large has the sizes that docs/CAPACITY.md looks ahead to.
-func large() *document.Document {
-	d := sound()
+// largeDocument returns a document with the sizes planned for in docs/CAPACITY.md.
+func largeDocument() *document.Document {
+	d := validDocument()
 	d.Organisations = nil
 	for i := range 38_000 {
 		name := fmt.Sprint("organisation-", i)
@@ -232,19 +232,19 @@
 	return d
 }
 
-var _ = It("lists a bounded number of faults of a document that is wrong throughout", func() {
-	d := large()
+var _ = It("lists a bounded number of faults", func() {
+	d := largeDocument()
 	d.Tiers = d.Tiers[:1]
 	Expect(d.Check()).To(HaveLen(document.MaxFaults + 1))
 })
 
 func BenchmarkLarge(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	data, err := document.Encode(d)
 	if err != nil {
 		b.Fatal(err)
 	}
-	changed := large()
+	changed := largeDocument()
 	changed.Organisations[100].Weight = 2
 	b.Run("check", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/core/document/fault.go
+++ b/internal/core/document/fault.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document.
+// Fault is one fault of a document.
 type Fault struct {
-	// Path leads to the field, such as organisations[3].tiers[1].
+	// Path is the path of the field, such as organisations[3].tiers[1].
 	Path string `json:"path"`
-	// Problem says what is wrong, Remedy what to do about it.
+	// Problem describes what is wrong, Remedy how to fix it.
 	Problem string `json:"problem"`
 	Remedy  string `json:"remedy"`
 }
 
-// String puts the fault into one line.
+// String returns the fault in one line.
 func (f Fault) String() string {
 	return f.Path + ": " + f.Problem + "; " + f.Remedy
 }
 
-// Faults are all the faults of one document, in the document's order.
+// Faults are the faults of one document, in the document's order.
 type Faults []Fault
 
-// MaxFaults bounds how many faults one check lists. A document that is wrong
-// throughout would otherwise cost each entry memory without bound; the last
-// fault then says that the list is cut.
+// MaxFaults bounds the faults that one check lists, and thereby the memory that an
+// invalid document uses at each entry. If there are more, one further fault at the
+// end reports that the list is truncated.
 const MaxFaults = 1000
 
-// Error lists every fault, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -36,7 +36,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is nil without faults. A nil Faults put into an error would not be nil.
+// Err returns f as an error, or nil if there are no faults. An empty Faults
+// converted to an error directly would not be nil.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/core/document/index.go
+++ b/internal/core/document/index.go
@@ -2,9 +2,9 @@
 
 import "sycamoretrail/internal/core/request"
 
-// Index answers look-ups in one document. It is built once for each version
-// and never changed, so it may be read from any goroutine. Where names or
-// hashes stand twice, which Check refuses, the first counts.
+// Index provides look-ups in one document. It is built once for each version and
+// never modified, so it is safe for concurrent use. If a name or hash occurs twice,
+// which Check rejects, the first one is found.
 type Index struct {
 	doc           *Document
 	organisations map[string]*Organisation
@@ -19,7 +19,7 @@
 	poolModels    map[string][]*Model
 }
 
-// NewIndex builds the index of a document, which must not change after.
+// NewIndex returns an index of a document, which must not be modified afterwards.
 func NewIndex(d *Document) *Index {
 	x := &Index{
 		doc:           d,
@@ -31,8 +31,8 @@
 		services:      byName(d.Services, func(s *Service) string { return s.Name }),
 		classes:       byName(d.Classes, func(c *Class) string { return c.Name }),
 		targets:       byName(d.Targets, func(t *Target) string { return t.Name }),
-		poolTargets:   grouped(d.Targets, func(t *Target) string { return t.Pool }),
-		poolModels:    grouped(d.Models, func(m *Model) string { return m.Pool }),
+		poolTargets:   groupBy(d.Targets, func(t *Target) string { return t.Pool }),
+		poolModels:    groupBy(d.Models, func(m *Model) string { return m.Pool }),
 	}
 	for i := range d.Organisations {
 		for _, hash := range d.Organisations[i].KeyHashes {
@@ -59,7 +59,7 @@
 	return out
 }
 
-func grouped[T any](list []T, group func(*T) string) map[string][]*T {
+func groupBy[T any](list []T, group func(*T) string) map[string][]*T {
 	out := make(map[string][]*T)
 	for i := range list {
 		key := group(&list[i])
@@ -68,58 +68,59 @@
 	return out
 }
 
-// Document returns the document that is indexed.
+// Document returns the indexed document.
 func (x *Index) Document() *Document { return x.doc }
 
-// Organisation finds an organisation by its name.
+// Organisation returns the organisation with the given name.
 func (x *Index) Organisation(name string) (*Organisation, bool) {
 	o, found := x.organisations[name]
 	return o, found
 }
 
-// OrganisationByKeyHash finds whose bearer token has the hex SHA-256 hash.
+// OrganisationByKeyHash returns the organisation with a bearer token whose SHA-256
+// is hash, in hex.
 func (x *Index) OrganisationByKeyHash(hash string) (*Organisation, bool) {
 	o, found := x.byKeyHash[hash]
 	return o, found
 }
 
-// TierRank finds a tier's rank by its name.
+// TierRank returns the rank of the tier with the given name.
 func (x *Index) TierRank(name string) (request.Tier, bool) {
 	t, found := x.tiers[name]
 	return t, found
 }
 
-// Pool finds a pool by its name.
+// Pool returns the pool with the given name.
 func (x *Index) Pool(name string) (*Pool, bool) {
 	p, found := x.pools[name]
 	return p, found
 }
 
-// Model finds a model by its name.
+// Model returns the model with the given name.
 func (x *Index) Model(name string) (*Model, bool) {
 	m, found := x.models[name]
 	return m, found
 }
 
-// Service finds a service by its name.
+// Service returns the service with the given name.
 func (x *Index) Service(name string) (*Service, bool) {
 	s, found := x.services[name]
 	return s, found
 }
 
-// Class finds a class by its name.
+// Class returns the class with the given name.
 func (x *Index) Class(name string) (*Class, bool) {
 	c, found := x.classes[name]
 	return c, found
 }
 
-// Target finds a target by its name.
+// Target returns the target with the given name.
 func (x *Index) Target(name string) (*Target, bool) {
 	t, found := x.targets[name]
 	return t, found
 }
 
-// ClassOf finds the class of a target.
+// ClassOf returns the class of a target.
 func (x *Index) ClassOf(target string) (*Class, bool) {
 	t, found := x.targets[target]
 	if !found {
@@ -128,8 +129,10 @@
 	return x.Class(t.Class)
 }
 
-// Targets lists a pool's targets in the document's order. Not to be changed.
+// Targets returns a pool's targets in the document's order. The result must not be
+// modified.
 func (x *Index) Targets(pool string) []*Target { return x.poolTargets[pool] }
 
-// Models lists a pool's models in the document's order. Not to be changed.
+// Models returns a pool's models in the document's order. The result must not be
+// modified.
 func (x *Index) Models(pool string) []*Model { return x.poolModels[pool] }
--- a/internal/core/document/parse.go
+++ b/internal/core/document/parse.go
@@ -11,10 +11,10 @@
 // ErrMalformed is wrapped by every error of Parse.
 var ErrMalformed = errors.New("malformed configuration document")
 
-// strict is how a document is read. An unknown or doubled name is refused, as
-// it is most often a misspelt setting: taken silently, the operator would
-// believe in force what is not.
-var strict = json.JoinOptions(
+// strictOptions are the options for parsing a document. Unknown and duplicate names
+// are rejected, because they are usually misspelt settings, which otherwise would
+// silently not be in force.
+var strictOptions = json.JoinOptions(
 	json.RejectUnknownMembers(true),
 	jsontext.AllowDuplicateNames(false),
 	json.WithUnmarshalers(json.JoinUnmarshalers(
@@ -37,22 +37,22 @@
 	)),
 )
 
-// Parse reads a document strictly: unknown names, doubled names, names in
-// another case and data after the end are refused. Numbers that are left out
-// take the defaults. The sense is not checked; see Check.
+// Parse parses a document strictly: it rejects unknown names, duplicate names, names
+// in another case and trailing data. Omitted numbers get their defaults. Parse does
+// not check the values; see Check.
 func Parse(data []byte) (*Document, error) {
 	d := defaultDocument()
-	if err := json.Unmarshal(data, &d, strict); err != nil {
+	if err := json.Unmarshal(data, &d, strictOptions); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	for i := range d.Classes {
-		completeClass(&d.Classes[i])
+		setEngineDefaults(&d.Classes[i])
 	}
 	return &d, nil
 }
 
-// completeClass fills in the first estimates, which only engines have.
-func completeClass(c *Class) {
+// setEngineDefaults sets the initial estimates, which only engines have.
+func setEngineDefaults(c *Class) {
 	if c.Kind != KindEngine {
 		return
 	}
@@ -64,9 +64,9 @@
 	}
 }
 
-// Encode forms the canonical bytes: no spaces, names in the order of the
-// types, every default written out, so that a later build with other defaults
-// reads the same document.
+// Encode returns the canonical encoding of d: no spaces, names in the order of the
+// fields, and all defaults included, so that a later build with other defaults reads
+// the same document.
 func Encode(d *Document) ([]byte, error) {
 	data, err := json.Marshal(d, json.Deterministic(true))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return data, nil
 }
 
-// EncodeIndent is Encode for files that people read.
+// EncodeIndent is like Encode but indents the result for human readers.
 func EncodeIndent(d *Document) ([]byte, error) {
 	data, err := json.Marshal(d, json.Deterministic(true), jsontext.WithIndent("  "))
 	if err != nil {
