--- a/internal/core/acceptance/acceptance.go
+++ b/internal/core/acceptance/acceptance.go
@@ -89,7 +89,7 @@
 	maxPending = 16
 )
 
-// accepted is a document that was accepted.
+// accepted is a document that is or was in force.
 type accepted struct {
 	id      string
 	base    int64
--- a/internal/core/acceptance/acceptance_test.go
+++ b/internal/core/acceptance/acceptance_test.go
@@ -190,9 +190,9 @@
 	})
 })
 
-// TestSuffix draws logs with racing, repeated and invalid
-// publications, with publications whose base is wrong, and with renewals whose
-// writers lag. It compares a reader of any suffix with a reader of the whole log.
+// TestSuffix draws logs with racing, repeated and invalid publications, with
+// publications whose base is wrong, and with renewals whose writers lag. It
+// compares a reader of any suffix with a reader of the whole log.
 func TestSuffix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := drawLog(t)
--- a/internal/core/claims/bench_test.go
+++ b/internal/core/claims/bench_test.go
@@ -45,7 +45,7 @@
 		next += batch
 		w.now = w.now.Add(time.Millisecond)
 	}
-	if len(n.answers) == 0 {
+	if len(n.decisions) == 0 {
 		b.Fatal("no decisions")
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*batch), "ns/claim")
--- a/internal/core/claims/claims_test.go
+++ b/internal/core/claims/claims_test.go
@@ -24,12 +24,12 @@
 	func(log []record.Record, want ...string) {
 		w := newWorld()
 		for _, rec := range log {
-			w.land(rec)
+			w.appendRecord(rec)
 		}
 		n := w.node(config())
 		n.read()
 		for _, id := range []ident.RequestID{"a", "b", "c"} {
-			n.ask(id)
+			n.claim(id)
 			w.advance(200*time.Millisecond, n)
 		}
 		Expect(n.winners()).To(Equal(want))
@@ -55,7 +55,7 @@
 			n := w.node(config())
 			n.read()
 			w.fault = fault
-			n.ask("a")
+			n.claim("a")
 			w.advance(100*time.Millisecond, n)
 			w.fault = faultNone
 			w.advance(500*time.Millisecond, n)
@@ -78,14 +78,14 @@
 		n := w.node(config())
 		n.read()
 		w.fault = faultDelayed
-		n.ask("a")
+		n.claim("a")
 		w.advance(100*time.Millisecond, n)
 		w.fault = faultNone
 		w.advance(300*time.Millisecond, n)
 		for _, rec := range w.delayed {
-			w.land(rec)
+			w.appendRecord(rec)
 		}
-		n.ask("b")
+		n.claim("b")
 		w.advance(300*time.Millisecond, n)
 		Expect(n.winners()).To(Equal([]string{"a>a", "b>a"}))
 	})
@@ -99,16 +99,16 @@
 		n := w.node(config())
 		n.read()
 		w.fault = faultDelayed
-		n.ask("a")
+		n.claim("a")
 		w.advance(timeout+time.Second, n)
 		Expect(n.winners()).To(Equal([]string{"a>"}))
 		w.fault = faultNone
 		n.release("a")
 		w.advance(200*time.Millisecond, n)
 		for _, rec := range w.delayed {
-			w.land(rec)
+			w.appendRecord(rec)
 		}
-		n.ask("b")
+		n.claim("b")
 		w.advance(300*time.Millisecond, n)
 		Expect(n.winners()).To(Equal([]string{"b>b"}))
 	})
@@ -120,7 +120,7 @@
 		n := w.node(config())
 		n.read()
 		w.fault = faultRecordLost
-		n.ask("a")
+		n.claim("a")
 		begun := w.now
 		w.now = w.now.Add(100 * time.Millisecond)
 		n.do(n.Tick(w.now))
@@ -140,9 +140,9 @@
 		n := w.node(config())
 		n.read()
 		w.fault = faultDelayed
-		n.ask("a")
+		n.claim("a")
 		w.advance(100*time.Millisecond, n)
-		w.land(claimOf("b"))
+		w.appendRecord(claimOf("b"))
 		n.read()
 		Expect(n.winners()).To(Equal([]string{"a>b"}))
 		w.fault = faultNone
@@ -151,7 +151,7 @@
 		Expect(w.log).To(ContainElement(releaseOf("a")))
 
 		appends := n.appends
-		n.ask("c")
+		n.claim("c")
 		n.release("c")
 		w.advance(100*time.Millisecond, n)
 		Expect(n.appends).To(Equal(appends), "the claim of c was never appended")
@@ -163,15 +163,15 @@
 		w := newWorld()
 		n := w.node(config())
 		n.read()
-		n.ask("a")
+		n.claim("a")
 		w.down = true
 		n.do(n.Down(w.now, 0))
-		n.ask("b")
+		n.claim("b")
 		Expect(n.winners()).To(Equal([]string{"a>", "b>"}))
 		n.release("a")
 		w.down = false
 		w.advance(300*time.Millisecond, n)
-		n.ask("c")
+		n.claim("c")
 		w.advance(300*time.Millisecond, n)
 		Expect(n.winners()).To(Equal([]string{"c>c"}))
 	})
@@ -185,8 +185,8 @@
 		m, n := w.node(config()), w.node(config())
 		m.read()
 		n.read()
-		m.ask("a")
-		n.ask("b")
+		m.claim("a")
+		n.claim("b")
 		w.advance(300*time.Millisecond, m, n)
 		Expect(m.winners()).To(Equal([]string{"a>a"}))
 		Expect(n.winners()).To(Equal([]string{"b>a"}))
@@ -199,14 +199,14 @@
 		w := newWorld()
 		m := w.node(config())
 		m.read()
-		m.ask("a")
+		m.claim("a")
 		w.advance(60*time.Millisecond, m)
 		n := w.node(config())
-		n.ask("b")
-		n.ask("a")
+		n.claim("b")
+		n.claim("a")
 		n.do(n.Tick(w.now))
 		n.do(n.Record(w.now, 0, 1, 0, w.log[0]))
-		n.ask("c")
+		n.claim("c")
 		Expect(n.winners()).To(BeEmpty())
 		m.do(m.SetHome(w.now, nil))
 		w.advance(100*time.Millisecond, m, n)
@@ -218,13 +218,13 @@
 		w := newWorld()
 		n := w.node(config())
 		n.read()
-		n.ask("a")
+		n.claim("a")
 		w.advance(100*time.Millisecond, n)
 		w.now = w.now.Add(horizon - time.Minute)
-		n.ask("b")
+		n.claim("b")
 		w.now = w.now.Add(2 * time.Minute)
 		n.do(n.Tick(w.now))
-		n.ask("c")
+		n.claim("c")
 		w.advance(100*time.Millisecond, n)
 		Expect(n.winners()).To(Equal([]string{"a>a", "b>a", "c>c"}))
 	})
@@ -266,15 +266,15 @@
 		w := newWorld()
 		n := w.node(cfg)
 		for i := range 21 {
-			w.land(record.Record{Claims: []record.Claim{{Key: request.KeyHash(fmt.Sprint("k", i)), ID: "a"}}})
+			w.appendRecord(record.Record{Claims: []record.Claim{{Key: request.KeyHash(fmt.Sprint("k", i)), ID: "a"}}})
 		}
 		n.read()
 		Expect(n.following).To(BeFalse())
-		n.ask("b")
+		n.claim("b")
 		Expect(n.winners()).To(Equal([]string{"b>"}))
 		w.now = w.now.Add(horizon + time.Minute)
 		w.advance(100*time.Millisecond, n)
-		n.ask("c")
+		n.claim("c")
 		w.advance(100*time.Millisecond, n)
 		Expect(n.winners()).To(Equal([]string{"c>c"}))
 	})
--- a/internal/core/claims/invariant_test.go
+++ b/internal/core/claims/invariant_test.go
@@ -18,7 +18,7 @@
 }
 
 func (o *owners) collect(n *node) {
-	for _, v := range n.answers {
+	for _, v := range n.decisions {
 		if o.ran[v.ID] || o.void[v.ID] {
 			continue
 		}
@@ -28,7 +28,7 @@
 		}
 		o.void[v.ID] = true
 	}
-	n.answers = nil
+	n.decisions = nil
 }
 
 // TestAtMostOneRequestPerKeyRuns draws schedules of two coordinators that are
@@ -56,7 +56,7 @@
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0, 1, 2:
 		if !o.void[id] {
-			n.ask(id)
+			n.claim(id)
 		}
 	case 3, 4:
 		w.now = w.now.Add(60 * time.Millisecond)
@@ -71,7 +71,7 @@
 	case 8:
 		w.fault = rapid.SampledFrom([]appendFault{faultNone, faultAnswerLost, faultRecordLost, faultDelayed, faultRefused}).Draw(t, "lose")
 		if len(w.delayed) > 0 {
-			w.land(w.delayed[0])
+			w.appendRecord(w.delayed[0])
 			w.delayed = w.delayed[1:]
 		}
 	case 9:
--- a/internal/core/claims/simulation_test.go
+++ b/internal/core/claims/simulation_test.go
@@ -49,7 +49,7 @@
 
 func newWorld() *world { return &world{now: time.Unix(1_000_000, 0)} }
 
-func (w *world) land(rec record.Record) {
+func (w *world) appendRecord(rec record.Record) {
 	w.log = append(w.log, rec)
 	w.loggedAt = append(w.loggedAt, w.now)
 }
@@ -60,7 +60,7 @@
 	w         *world
 	following bool
 	next      int
-	answers   []claims.Verdict
+	decisions []claims.Verdict
 	appends   int
 }
 
@@ -78,7 +78,7 @@
 		case claims.Unfollow:
 			n.following = false
 		case claims.Verdict:
-			n.answers = append(n.answers, e)
+			n.decisions = append(n.decisions, e)
 		case claims.Append:
 			n.append(e)
 		}
@@ -89,10 +89,10 @@
 	n.appends++
 	switch n.w.fault {
 	case faultNone:
-		n.w.land(e.Record)
+		n.w.appendRecord(e.Record)
 		n.do(n.Appended(n.w.now, e.Tag, int64(len(n.w.log)), false))
 	case faultAnswerLost:
-		n.w.land(e.Record)
+		n.w.appendRecord(e.Record)
 		n.do(n.Appended(n.w.now, e.Tag, -1, false))
 	case faultRecordLost:
 		n.do(n.Appended(n.w.now, e.Tag, -1, false))
@@ -130,18 +130,18 @@
 	}
 }
 
-func (n *node) ask(id ident.RequestID) { n.do(n.Ask(n.w.now, "owner", key, id)) }
+func (n *node) claim(id ident.RequestID) { n.do(n.Ask(n.w.now, "owner", key, id)) }
 func (n *node) release(id ident.RequestID) {
 	n.do(n.Release(n.w.now, key, id))
 }
 
-// winners returns the answers since its last call, each as "id>winner".
+// winners returns the decisions since its last call, each as "id>winner".
 func (n *node) winners() []string {
 	var out []string
-	for _, v := range n.answers {
+	for _, v := range n.decisions {
 		out = append(out, fmt.Sprintf("%s>%s", v.ID, v.Winner))
 	}
-	n.answers = nil
+	n.decisions = nil
 	return out
 }
 
--- a/internal/core/owner/epoch.go
+++ b/internal/core/owner/epoch.go
@@ -54,16 +54,16 @@
 	closesAt time.Time
 	// admitUntil is when ids that are not known stop being admitted.
 	admitUntil time.Time
-	// forgetAt is when all ids of the epoch expire.
-	forgetAt time.Time
-	own      map[string]*record
-	adopted  map[ident.RequestID]*record
-	refused  filter
+	// expiresAt is when all ids of the epoch expire and it is dropped.
+	expiresAt time.Time
+	own       map[string]*record
+	adopted   map[ident.RequestID]*record
+	refused   filter
 }
 
 func (e *epoch) extend(maxDeadline time.Duration) {
-	if until := e.admitUntil.Add(maxDeadline); until.After(e.forgetAt) {
-		e.forgetAt = until
+	if until := e.admitUntil.Add(maxDeadline); until.After(e.expiresAt) {
+		e.expiresAt = until
 	}
 }
 
@@ -96,7 +96,7 @@
 		passed := now.Sub(last.closesAt) / t.cfg.Period
 		t.open(last.closesAt.Add(passed*t.cfg.Period), last.number+1+uint32(passed))
 	}
-	for len(t.epochs) > 1 && !now.Before(t.epochs[0].forgetAt) {
+	for len(t.epochs) > 1 && !now.Before(t.epochs[0].expiresAt) {
 		t.count -= len(t.epochs[0].own) + len(t.epochs[0].adopted)
 		t.epochs[0] = nil
 		t.epochs = t.epochs[1:]
@@ -134,7 +134,7 @@
 	}
 	e := t.epoch(parts.Epoch)
 	switch {
-	case e == nil || !now.Before(e.forgetAt):
+	case e == nil || !now.Before(e.expiresAt):
 		return nil, KindExpired, nil
 	case !now.Before(e.admitUntil):
 		return nil, KindLate, nil
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -102,7 +102,7 @@
 			// A starting entry does not have the longest deadline of the document
 			// yet. If its first epoch were kept for the initial value, it would keep
 			// all later epochs in memory.
-			e.forgetAt = e.admitUntil
+			e.expiresAt = e.admitUntil
 		}
 		e.extend(maxDeadline)
 	}
