--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -9,9 +9,9 @@
 	"sycamoretrail/internal/gossip"
 )
 
-// report is what an entry with four requests at the ten targets of its cell tells, with
-// the totals of some organisations.
-func report(organisations int) *gossip.Message {
+// loadReport returns the load loadReport of an entry with four requests at the ten targets of its
+// cell, with the totals of some organisations.
+func loadReport(organisations int) *gossip.Message {
 	load := &gossip.Load{InFlight: map[string]int{}, Reading: map[string]int{}, Waiting: map[string]uint32{}}
 	for i := range 4 {
 		load.InFlight[fmt.Sprintf("i-7f3a91c%d", i)] = 1
@@ -27,10 +27,10 @@
 	return &gossip.Message{From: "front-cubao-12", Incarnation: 1 << 63, AgeMS: 40_000, Sequence: 5000, Load: load}
 }
 
-// BenchmarkReport is what a report of load costs its sender and each receiver.
+// BenchmarkReport measures the cost of a load report at its sender and at each receiver.
 func BenchmarkReport(b *testing.B) {
 	for _, organisations := range []int{0, 5, 19} {
-		m := report(organisations)
+		m := loadReport(organisations)
 		data, err := cbor.Marshal(m)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/gossip/fragment.go
+++ b/internal/gossip/fragment.go
@@ -13,29 +13,30 @@
 const (
 	// fragmentBytes leaves room for the other fields of a datagram.
 	fragmentBytes = 1200
-	// maxFragments bounds a message: a configuration of a thousand routes takes
-	// some twenty.
+	// maxFragments bounds the size of a message. A configuration of a thousand routes
+	// takes about twenty fragments.
 	maxFragments = 256
-	// maxAssembled bounds the memory of one unpacked message.
-	maxAssembled = 16 << 20
-	// assemblyLife is how long fragments wait for the rest. The sender sends them in
-	// a row; what is missing then is lost, and the receiver reads for itself.
-	assemblyLife = 500 * time.Millisecond
+	// maxUnpackedBytes bounds the size of one decompressed message, in bytes.
+	maxUnpackedBytes = 16 << 20
+	// assemblyTimeout is how long an incomplete message is kept. The sender sends all
+	// fragments in a row, so those still missing after this time are lost, and the
+	// receiver reads the log itself.
+	assemblyTimeout = 500 * time.Millisecond
 )
 
-// Fragment is a part of a message that is too long for a datagram: the message is
-// packed, cut, and joined again by the receiver.
+// Fragment is a part of a message that is too long for a datagram. The sender compresses
+// and splits the message; the receiver reassembles it.
 type Fragment struct {
-	// Message tells the messages of a sender apart.
+	// Message identifies a message among those of its sender.
 	Message uint64 `cbor:"1,keyasint"`
 	Index   int    `cbor:"2,keyasint"`
 	Count   int    `cbor:"3,keyasint"`
 	Data    []byte `cbor:"4,keyasint"`
 }
 
-// Split packs news and cuts it into fragments.
-func Split(number uint64, news *Replica) ([]Fragment, error) {
-	plain, err := cbor.Marshal(news)
+// Split compresses a replica and splits it into fragments.
+func Split(number uint64, replica *Replica) ([]Fragment, error) {
+	plain, err := cbor.Marshal(replica)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMessage, err)
 	}
@@ -53,7 +54,7 @@
 	data := packed.Bytes()
 	count := (len(data) + fragmentBytes - 1) / fragmentBytes
 	if count > maxFragments {
-		return nil, fmt.Errorf("%w: %d fragments are too many", errMessage, count)
+		return nil, fmt.Errorf("%w: message of %d fragments is too long", errMessage, count)
 	}
 	fragments := make([]Fragment, 0, count)
 	for i := range count {
@@ -63,7 +64,7 @@
 	return fragments, nil
 }
 
-// Assembler joins fragments. It is not safe for concurrent use.
+// Assembler reassembles messages from fragments. It is not safe for concurrent use.
 type Assembler struct{ open map[assemblyKey]*assembly }
 
 type assemblyKey struct {
@@ -76,13 +77,13 @@
 	missing int
 }
 
-// NewAssembler makes an assembler without fragments.
+// NewAssembler returns an empty assembler.
 func NewAssembler() *Assembler { return &Assembler{open: make(map[assemblyKey]*assembly)} }
 
-// Add takes a fragment; it returns the news that it completes, or nil.
+// Add adds a fragment. It returns the message that the fragment completes, or nil.
 func (a *Assembler) Add(now time.Time, incarnation uint64, f *Fragment) (*Replica, error) {
 	for key, old := range a.open {
-		if now.Sub(old.began) > assemblyLife {
+		if now.Sub(old.began) > assemblyTimeout {
 			delete(a.open, key)
 		}
 	}
@@ -90,30 +91,30 @@
 		return nil, fmt.Errorf("%w: fragment %d of %d", errMessage, f.Index, f.Count)
 	}
 	key := assemblyKey{incarnation, f.Message}
-	one, found := a.open[key]
+	pending, found := a.open[key]
 	if !found {
-		one = &assembly{began: now, parts: make([][]byte, f.Count), missing: f.Count}
-		a.open[key] = one
+		pending = &assembly{began: now, parts: make([][]byte, f.Count), missing: f.Count}
+		a.open[key] = pending
 	}
-	if len(one.parts) != f.Count || one.parts[f.Index] != nil {
+	if len(pending.parts) != f.Count || pending.parts[f.Index] != nil {
 		return nil, nil
 	}
-	one.parts[f.Index] = f.Data
-	if one.missing--; one.missing > 0 {
+	pending.parts[f.Index] = f.Data
+	if pending.missing--; pending.missing > 0 {
 		return nil, nil
 	}
 	delete(a.open, key)
-	return unpack(bytes.Join(one.parts, nil))
+	return unpack(bytes.Join(pending.parts, nil))
 }
 
 func unpack(packed []byte) (*Replica, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxAssembled))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMessage, err)
 	}
-	news := &Replica{}
-	if err := cbor.Unmarshal(plain, news); err != nil {
+	replica := &Replica{}
+	if err := cbor.Unmarshal(plain, replica); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMessage, err)
 	}
-	return news, nil
+	return replica, nil
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip carries what entries tell each other: soft state that the next
-// message replaces. It goes by datagram, since a lost one costs nothing but some
-// milliseconds of age, and neither connections that fall silent nor a peer that
-// does not read can hold anything up.
+// Package gossip exchanges soft state between entries. It uses datagrams: each
+// message is superseded by the next, so a lost one only makes the state some
+// milliseconds older, and neither an unresponsive connection nor a slow peer can
+// block the sender.
 package gossip
 
 import (
@@ -15,22 +15,23 @@
 	"sycamoretrail/internal/feed"
 )
 
-// MaxDatagram is the longest message sent: what fits a common MTU in one piece.
+// MaxDatagram is the largest message sent, in bytes. It fits a common MTU without
+// IP fragmentation.
 const MaxDatagram = 1400
 
-// errMessage is wrapped by errors of messages that cannot be sent.
+// errMessage is wrapped by the errors of this package.
 var errMessage = errors.New("gossip")
 
-// Message is one datagram. Parts that are absent say nothing. The number of a field
-// whose meaning has changed is not used again: an entry of another release that could
-// not decode a heartbeat would take its sender for silent.
+// Message is one datagram. An absent part carries no information. When the meaning of
+// a field changes, the field gets a new number: an entry of another release that could
+// not decode a heartbeat would consider its sender unresponsive.
 type Message struct {
 	// From names the sender and its incarnation.
 	From        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// AgeMS is how long the sender has been running.
 	AgeMS int64 `cbor:"3,keyasint"`
-	// Sequence rises with each message of an incarnation; an older one is dropped.
+	// Sequence increases with each message of an incarnation; older messages are dropped.
 	Sequence uint64 `cbor:"4,keyasint"`
 
 	Heartbeat *Heartbeat `cbor:"5,keyasint,omitempty"`
@@ -38,18 +39,18 @@
 	Replica   *Replica   `cbor:"7,keyasint,omitempty"`
 	Crash     *Crash     `cbor:"8,keyasint,omitempty"`
 	Fragment  *Fragment  `cbor:"9,keyasint,omitempty"`
-	// History is what organisations have used over all entries, for an entry that has
-	// just begun.
+	// History is the usage of organisations over all entries, for an entry that has
+	// just started.
 	History   map[string]History `cbor:"10,keyasint,omitempty"`
 	Digest    *Digest            `cbor:"11,keyasint,omitempty"`
 	Departure *Departure         `cbor:"14,keyasint,omitempty"`
-	// RolloutStep is from the leader of a roll-out, RolloutReport for it.
+	// RolloutStep is sent by the leader of a roll-out, RolloutReport to it.
 	RolloutStep   *RolloutStep   `cbor:"12,keyasint,omitempty"`
 	RolloutReport *RolloutReport `cbor:"13,keyasint,omitempty"`
 }
 
-// Heartbeat is what the sender says of itself: often to the entries of its cell, and to
-// every other entry when it starts, is ready or stops.
+// Heartbeat is the status of the sender. It is sent often to the entries of its cell, and
+// to every other entry when the sender starts, becomes ready or stops.
 type Heartbeat struct {
 	Zone    string `cbor:"1,keyasint"`
 	Callers string `cbor:"2,keyasint"`
@@ -57,36 +58,40 @@
 	State   uint8  `cbor:"4,keyasint"`
 	// Version is the configuration in force.
 	Version int64 `cbor:"5,keyasint"`
-	// Totals are what organisations have used since the start.
+	// Totals are the usage of organisations since the sender's start.
 	Totals map[string]Total `cbor:"8,keyasint,omitempty"`
-	// Blind: the sender cannot read the store, so it should not read for others.
+	// StoreDisconnected is set while the sender cannot read the store, so that it is not
+	// chosen as the reader.
 	Blind bool `cbor:"7,keyasint,omitempty"`
-	// Partial: there are other totals, which later heartbeats hold.
+	// Partial is set if further totals follow in later heartbeats.
 	Partial bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Load is what the sender has at targets and in its queues.
+// Load is the number of the sender's requests at targets and the state of its queues.
 type Load struct {
 	InFlight map[string]int `cbor:"1,keyasint,omitempty"`
-	// Waiting is the urgency of the most urgent request that waits, by service.
+	// Waiting is the urgency of the most urgent queued request, by service.
 	Waiting map[string]uint32 `cbor:"8,keyasint,omitempty"`
-	// Totals are those of Heartbeat, for entries that are told each change.
+	// Totals are those of Heartbeat, for entries that receive each change.
 	Totals map[string]Total `cbor:"5,keyasint,omitempty"`
-	// UnresponsiveMS is for how long yet targets get nothing from the sender, because they
+	// UnresponsiveMS is the remaining time for which the sender backs off from targets that
 	// did not answer in time.
 	UnresponsiveMS map[string]int64 `cbor:"4,keyasint,omitempty"`
-	// Reading is the number of prompt tokens that targets still have to read for the sender.
+	// PendingPromptTokens is the number of the sender's prompt tokens that targets have not
+	// processed yet.
 	Reading map[string]int `cbor:"6,keyasint,omitempty"`
 	// Samples are the sender's measurements of targets since its last report.
 	Samples []Sample `cbor:"7,keyasint,omitempty"`
-	// Partial is that of Heartbeat.
+	// Partial is set as in Heartbeat.
 	Partial bool `cbor:"9,keyasint,omitempty"`
-	// Limits are those that targets declare; where they have no room, some in turn.
+	// Limits are the rate limits that targets declare. If they do not all fit, each message
+	// holds some of them in turn.
 	Limits map[string]Limit `cbor:"10,keyasint,omitempty"`
 }
 
-// Limit is the rate that a target declares, or the end of it, as told by an answer of some
-// age, and the number of requests that the sender has sent there since the limit began.
+// Limit is the rate limit that a target declared in an answer, or the end of that limit. AgeMS
+// is the age of the answer, Sent the number of requests that the sender has sent to the target
+// since the limit began.
 type Limit struct {
 	_         struct{} `cbor:",toarray"`
 	Declared  bool
@@ -95,7 +100,8 @@
 	Sent      int
 }
 
-// Sample is what one answer showed of a target's speed, in nanoseconds; 0: not measured.
+// Sample is the speed of a target as measured on one answer, in nanoseconds; 0 means not
+// measured.
 type Sample struct {
 	_         struct{} `cbor:",toarray"`
 	Target    string
@@ -104,43 +110,44 @@
 	Longest   int64
 }
 
-// Total is the cost of what an organisation's requests have used since the sender's
-// start, in whole units: of those admitted, and of these the part that still waits to
-// be sent to a target.
+// Total is the cost of an organisation's requests since the sender's start, in whole
+// units. Admitted covers all admitted requests, Waiting those of them that have not been
+// sent to a target yet.
 type Total struct {
 	_        struct{} `cbor:",toarray"`
 	Admitted int64
 	Waiting  int64
 }
 
-// History is an organisation's usage in the two halves of the window, in whole units.
+// History is an organisation's usage in the two halves of the quota window, in whole units.
 type History struct {
 	_             struct{} `cbor:",toarray"`
 	Older, Recent int64
 }
 
-// Replica is a part of a log that the sender has read.
+// Replica is a part of a log, as read by the sender.
 type Replica struct {
 	Topic feed.Topic `cbor:"1,keyasint"`
-	// From and To are the offsets between which Records are all that matters, Generation the
-	// log's.
+	// From and To are the offsets between which Records holds all relevant records.
+	// Generation is the generation of the log.
 	From       int64         `cbor:"2,keyasint"`
 	To         int64         `cbor:"3,keyasint"`
 	Generation int64         `cbor:"7,keyasint,omitempty"`
 	Records    []feed.Record `cbor:"4,keyasint,omitempty"`
-	// AgeMS is how long before sending the log was in this state.
+	// AgeMS is the time between the read of the log and the sending of this message.
 	AgeMS int64 `cbor:"5,keyasint"`
-	// Whole: Records are the newest of all keys, not changes.
+	// Snapshot is set if Records is a snapshot with the newest record of each key, rather
+	// than changes.
 	Whole bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Crash says that a run of a request ended with a broken connection.
+// Crash reports that a run of a request ended with a broken connection.
 type Crash struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	ID          string `cbor:"2,keyasint"`
 }
 
-// Departure says that a target has said in an answer that it leaves.
+// Departure reports that a target has announced its departure in an answer.
 type Departure struct {
 	Target    string `cbor:"1,keyasint"`
 	StartedMS int64  `cbor:"2,keyasint,omitempty"`
@@ -150,7 +157,7 @@
 type Conn struct {
 	socket   *net.UDPConn
 	sequence atomic.Uint64
-	// Sent and Received count datagrams, Undecodable those that were dropped.
+	// Sent and Received count datagrams, Undecodable received ones that were dropped.
 	Sent, Received, Undecodable atomic.Int64
 }
 
@@ -167,11 +174,11 @@
 	return &Conn{socket: socket}, nil
 }
 
-// Next is a number for what the sender says of itself: later than that of its messages
-// before, earlier than that of those to come.
+// NextSequence returns a sequence number for a status of the sender. It is greater than the
+// numbers of earlier messages and less than those of later ones.
 func (c *Conn) Next() uint64 { return c.sequence.Add(1) }
 
-// Encode forms a datagram.
+// Encode assigns the next sequence number to the message and encodes it as a datagram.
 func (c *Conn) Encode(m *Message) ([]byte, error) {
 	m.Sequence = c.Next()
 	data, err := cbor.Marshal(m)
@@ -184,8 +191,8 @@
 	return data, nil
 }
 
-// Send sends a datagram. An error means that it was not sent; the next message
-// replaces it, so callers may count and go on.
+// Send sends a datagram. An error means that it was not sent. Callers need not retry,
+// since the next message supersedes it.
 func (c *Conn) Send(address *net.UDPAddr, datagram []byte) error {
 	if _, err := c.socket.WriteToUDP(datagram, address); err != nil {
 		return fmt.Errorf("%w: %w", errMessage, err)
@@ -194,7 +201,7 @@
 	return nil
 }
 
-// Receive hands messages on until the socket is closed.
+// Receive passes messages to handle until the socket is closed.
 func (c *Conn) Receive(handle func(*Message)) error {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,22 +14,22 @@
 
 var now = time.Unix(1_000_000, 0)
 
-func longNews() *gossip.Replica {
+func longReplica() *gossip.Replica {
 	random := rand.New(rand.NewPCG(1, 2))
-	news := &gossip.Replica{Topic: feed.Targets, From: 3, To: 203}
+	replica := &gossip.Replica{Topic: feed.Targets, From: 3, To: 203}
 	for i := range 200 {
 		value := fmt.Sprintf(`{"address":"10.0.%d.%d:%d"}`, random.IntN(256), random.IntN(256), random.IntN(65536))
-		news.Records = append(news.Records, feed.Record{Key: fmt.Sprint(random.Uint64()), Value: []byte(value), Offset: int64(i)})
+		replica.Records = append(replica.Records, feed.Record{Key: fmt.Sprint(random.Uint64()), Value: []byte(value), Offset: int64(i)})
 	}
-	return news
+	return replica
 }
 
-// Replica of many records are cut into datagrams, which arrive in any order and some
-// twice. They are joined once, to what was sent.
+// A replica of many records is split into datagrams, which arrive in any order and some
+// twice. It must be reassembled exactly once and equal what was sent.
 func TestFragmentsAreJoinedInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
-	news := longNews()
-	fragments, err := gossip.Split(1, news)
+	replica := longReplica()
+	fragments, err := gossip.Split(1, replica)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(fragments)).To(BeNumerically(">", 2))
 	fragments = append(fragments, fragments[0])
@@ -37,33 +37,34 @@
 	assembler := gossip.NewAssembler()
 	joined := 0
 	for i := range fragments {
-		whole, err := assembler.Add(now, 9, &fragments[i])
+		assembled, err := assembler.Add(now, 9, &fragments[i])
 		g.Expect(err).NotTo(HaveOccurred())
-		if whole != nil {
+		if assembled != nil {
 			joined++
-			g.Expect(whole).To(Equal(news))
+			g.Expect(assembled).To(Equal(replica))
 		}
 	}
 	g.Expect(joined).To(Equal(1))
 }
 
-// A fragment is lost. The rest is forgotten, and the next message is joined all the same.
-func TestLostFragmentSpoilsOnlyItsMessage(t *testing.T) {
+// If a fragment is lost, the incomplete message is dropped and the next one is still
+// reassembled.
+func TestLostFragmentLosesOnlyItsMessage(t *testing.T) {
 	g := NewWithT(t)
 	assembler := gossip.NewAssembler()
 	for number := range uint64(2) {
-		fragments, err := gossip.Split(number, longNews())
+		fragments, err := gossip.Split(number, longReplica())
 		g.Expect(err).NotTo(HaveOccurred())
-		var whole *gossip.Replica
+		var assembled *gossip.Replica
 		for i := range fragments {
 			if number == 0 && i == 1 {
 				continue
 			}
 			if found, err := assembler.Add(now.Add(time.Duration(number)*time.Second), 9, &fragments[i]); found != nil || err != nil {
-				whole = found
+				assembled = found
 			}
 		}
-		g.Expect(whole != nil).To(Equal(number == 1))
+		g.Expect(assembled != nil).To(Equal(number == 1))
 	}
 }
 
--- a/internal/gossip/rollout.go
+++ b/internal/gossip/rollout.go
@@ -1,6 +1,6 @@
 package gossip
 
-// RolloutStep is how far a roll-out is; see rollout.Step.
+// RolloutStep is the progress of a roll-out; see rollout.Step.
 type RolloutStep struct {
 	Service   string `cbor:"1,keyasint"`
 	Order     int64  `cbor:"2,keyasint"`
@@ -9,7 +9,7 @@
 	ElapsedMS int64  `cbor:"5,keyasint"`
 }
 
-// RolloutReport is what the sender has seen of a roll-out; see rollout.Report.
+// RolloutReport holds the sender's observations of a roll-out; see rollout.Report.
 type RolloutReport struct {
 	Service    string        `cbor:"1,keyasint"`
 	Order      int64         `cbor:"2,keyasint"`
@@ -19,8 +19,8 @@
 	Old        []Observation `cbor:"6,keyasint,omitempty"`
 }
 
-// Observation is what one answer showed of a target, with times in microseconds. Some 28
-// bytes, so that those of a report fit a datagram.
+// Observation is the outcome of one answer of a target, with times in microseconds. It is
+// encoded in about 28 bytes, so that the observations of a report fit a datagram.
 type Observation struct {
 	_             struct{} `cbor:",toarray"`
 	Number        uint64
@@ -31,7 +31,7 @@
 	TookMS        uint32
 }
 
-// Flags of an observation.
+// Flags of an Observation.
 const (
 	ObservedFailed  = 1
 	ObservedSevered = 2
