--- a/internal/peers/bench_test.go
+++ b/internal/peers/bench_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// perRequest is what one request makes its owner and a target's scheduler say.
+// perRequest returns the messages that the owner and a target's scheduler exchange for one
+// request.
 func perRequest() []message.Message {
 	o := benchOffer()
 	return []message.Message{
@@ -46,7 +47,7 @@
 	return h
 }
 
-// BenchmarkPacket encodes and decodes one frame. Reported besides: its bytes.
+// BenchmarkPacket encodes and decodes one frame. It also reports the frame's size.
 func BenchmarkPacket(b *testing.B) {
 	for _, frame := range []struct {
 		name     string
@@ -83,7 +84,7 @@
 	}
 }
 
-// BenchmarkRoundTrip sends an offer over a real link and waits for a grant.
+// BenchmarkRoundTrip sends an offer over a loopback link and waits for a grant.
 func BenchmarkRoundTrip(b *testing.B) {
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
--- a/internal/peers/dial.go
+++ b/internal/peers/dial.go
@@ -18,16 +18,16 @@
 	dialTimeout = 2 * time.Second
 	backoffMin  = 50 * time.Millisecond
 	backoffMax  = 3 * time.Second
-	// forgetRefused and forgetSilent end the dialling of an address that neither
-	// the settings nor the instance list names any more: so many refusals in a
-	// row, or no answer for so long.
-	forgetRefused = 10
-	forgetSilent  = time.Hour
-	// maxAddresses bounds the addresses known.
+	// An address that is neither in the settings nor in the instance list is no longer
+	// dialled after forgetAfterRefusals refusals in a row, or without an answer for
+	// forgetAfterTime.
+	forgetAfterRefusals = 10
+	forgetAfterTime     = time.Hour
+	// maxAddresses bounds the number of known addresses.
 	maxAddresses = 4096
 )
 
-// source says how an address became known.
+// source is the origin of an address.
 type source int
 
 const (
@@ -36,14 +36,15 @@
 	sourceHello
 )
 
-// address is a place where a peer is, was or may be, with its own goroutine.
+// address is an address at which a peer is, was or may be reachable. Each has its own
+// goroutine.
 type address struct {
 	text string
 	// seed and listed are guarded by the mutex of Links.
 	seed, listed bool
 	wake         chan struct{}
 
-	// The rest belongs to the goroutine of the address.
+	// The fields below are used only by the goroutine of the address.
 	last     ident.Incarnation
 	reported bool
 	refusals int
@@ -51,16 +52,16 @@
 	backoff  backoff.Backoff
 }
 
-// nudge ends the current wait of the address.
-func (a *address) nudge() {
+// wakeUp ends the current wait of the address's goroutine.
+func (a *address) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// learn adds an address, unless it is our own.
-func (l *Links) learn(text string, from source) {
+// addAddress adds an address, unless it is this entry's own.
+func (l *Links) addAddress(text string, from source) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if text == "" || text == l.options.Self.PeerAddress || l.ctx.Err() != nil {
@@ -78,29 +79,29 @@
 			backoff: backoff.Backoff{Min: backoffMin, Max: backoffMax},
 		}
 		l.addresses[text] = a
-		l.group.Go(func() { l.tend(a) })
+		l.group.Go(func() { l.maintain(a) })
 	}
 	a.seed = a.seed || from == sourceSeed
 	a.listed = a.listed || from == sourceList
 }
 
-func (l *Links) nudge(text string) {
+func (l *Links) wakeAddress(text string) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
 	if a := l.addresses[text]; a != nil {
-		a.nudge()
+		a.wakeUp()
 	}
 }
 
-// tend keeps a link to whoever has the address, and finds out when that process
-// is gone.
-func (l *Links) tend(a *address) {
+// maintain maintains a link to the process at the address, and detects that this process
+// has terminated.
+func (l *Links) maintain(a *address) {
 	for l.ctx.Err() == nil {
 		if k := l.linkedAt(a); k != nil {
-			l.await(a, k)
+			l.waitForEnd(a, k)
 			continue
 		}
-		err := l.try(a)
+		err := l.tryDial(a)
 		if errors.Is(err, ErrSelf) || l.forget(a) {
 			return
 		}
@@ -110,28 +111,29 @@
 	}
 }
 
-// await waits for the end of a link that stands.
-func (l *Links) await(a *address, k *link) {
-	a.found(k.member.Incarnation)
+// waitForEnd waits until an established link ends.
+func (l *Links) waitForEnd(a *address, k *link) {
+	a.answeredBy(k.member.Incarnation)
 	a.backoff.Reset()
 	select {
 	case <-k.done:
-		// The table forgets the link right after; then the address is dialled.
+		// serve removes the link from the table only a little later. Removing it here
+		// lets the address be dialled at once.
 		l.unregister(k)
 	case <-l.ctx.Done():
 	}
 }
 
-// found notes who answered at the address.
-func (a *address) found(who ident.Incarnation) {
+// answeredBy records the process that answered at the address.
+func (a *address) answeredBy(who ident.Incarnation) {
 	a.last, a.reported = who, false
 	a.refusals = 0
 	a.lastOK = time.Now()
 }
 
-// veto ends a hello with ourselves, and one with a peer that is linked already:
-// completing it would make the peer replace a link that works.
-func (l *Links) veto(peer message.Member) error {
+// rejectLinked aborts a hello with this entry itself, and one with a peer that is already
+// linked: completing it would make the peer replace a working link.
+func (l *Links) rejectLinked(peer message.Member) error {
 	if peer.Incarnation == l.options.Self.Incarnation {
 		return ErrSelf
 	}
@@ -143,38 +145,39 @@
 	return nil
 }
 
-// try dials once. The end that does not dial also tries, to learn who is there:
-// after a broken link it must find out whether the process is gone.
-func (l *Links) try(a *address) error {
+// tryDial dials once. The end that does not open links also dials, to identify the process
+// at the address: after a broken link it must find out whether the peer has terminated.
+func (l *Links) tryDial(a *address) error {
 	conn, err := l.dial(a.text)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			a.refusals++
-			l.gone(a, "")
+			l.reportTerminated(a, "")
 			return err
 		}
-		l.refused(a.text, err)
+		l.logFailedHello(a.text, err)
 		return err
 	}
 	defer conn.Close()
-	limitHello(conn)
-	member, err := l.identity.dialHello(conn, l.veto)
+	limitHandshake(conn)
+	member, err := l.identity.dialHello(conn, l.rejectLinked)
 	if err != nil && !errors.Is(err, errLinked) {
-		l.refused(a.text, err)
+		l.logFailedHello(a.text, err)
 		return err
 	}
-	l.gone(a, member.Incarnation)
-	a.found(member.Incarnation)
+	l.reportTerminated(a, member.Incarnation)
+	a.answeredBy(member.Incarnation)
 	if err != nil || !l.dials(member.Incarnation) {
 		return nil
 	}
 	a.backoff.Reset()
-	return l.hold(newLink(conn, member, l))
+	return l.serve(newLink(conn, member, l))
 }
 
-// gone reports the process that was last at the address, where now there is
-// nobody (empty) or another incarnation. Once is enough.
-func (l *Links) gone(a *address, now ident.Incarnation) {
+// reportTerminated reports, once, that the process last seen at the address has
+// terminated. now is the incarnation that answers there instead, or empty if
+// connections are refused.
+func (l *Links) reportTerminated(a *address, now ident.Incarnation) {
 	if a.last == "" || a.last == now || a.reported {
 		return
 	}
@@ -182,13 +185,13 @@
 	l.options.Deliver(entry.PeerDown{Incarnation: a.last, Refused: true})
 }
 
-// forget drops an address that nobody names and nobody answers at; about as many
-// are left behind a day as instances are replaced.
+// forget removes an address that has no source any more and at which no process
+// answers. About as many such addresses accumulate per day as instances are replaced.
 func (l *Links) forget(a *address) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	useless := a.refusals >= forgetRefused || time.Since(a.lastOK) > forgetSilent
-	if a.seed || a.listed || !useless {
+	abandoned := a.refusals >= forgetAfterRefusals || time.Since(a.lastOK) > forgetAfterTime
+	if a.seed || a.listed || !abandoned {
 		return false
 	}
 	delete(l.addresses, a.text)
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -12,16 +12,16 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// The hello, before any packet:
+// The hello precedes all packets:
 //
 //	dialler  -> Hello            version, member, nonce
 //	acceptor -> Hello, Proof     its own, and HMAC("acceptor", both hellos)
 //	dialler  -> Proof            HMAC("dialler", both hellos)
 //	acceptor -> Welcome
 //
-// Either end may send Refusal instead and close. The key never leaves a process;
-// the nonces are fresh and the labels differ, so a proof cannot be sent again or
-// back to the one who made it.
+// Either end may send Refusal instead and close the connection. The key never leaves a
+// process. The nonces are fresh and the labels differ, so that a proof can neither be
+// replayed nor reflected to its sender.
 
 const (
 	nonceLength   = 16
@@ -29,14 +29,14 @@
 	labelAcceptor = "sycamoretrail acceptor"
 )
 
-// hello introduces one end.
+// hello identifies one end.
 type hello struct {
 	Version int            `cbor:"1,keyasint"`
 	Member  message.Member `cbor:"2,keyasint"`
 	Nonce   []byte         `cbor:"3,keyasint"`
 }
 
-// refusalCode says why a hello was refused.
+// refusalCode is the reason why a hello was refused.
 type refusalCode uint8
 
 const (
@@ -45,7 +45,7 @@
 	refusalMalformed
 )
 
-// refusal tells the other end why the link is closed.
+// refusal informs the other end why the connection is closed.
 type refusal struct {
 	Code   refusalCode `cbor:"1,keyasint"`
 	Detail string      `cbor:"2,keyasint"`
@@ -65,18 +65,19 @@
 	WriteMessage(kind int, data []byte) error
 }
 
-// identity is what an end brings to the hello.
+// identity holds the credentials of one end.
 type identity struct {
 	version int
 	self    message.Member
-	// key proves this end; the other may prove itself by it or by accepted, the
-	// key of before or after while keys are changed. nil: no other.
+	// key authenticates this end. The other end may authenticate with key or with
+	// accepted, which is the previous or the next key during a key rotation; nil means
+	// that only key is accepted.
 	key, accepted []byte
 }
 
-// dialHello does the hello as the end that opened the connection. Once the peer
-// has proved itself, veto may still end the hello with its error; the peer then
-// never counts the connection as a link.
+// dialHello performs the hello as the end that opened the connection. Once the peer
+// is authenticated, veto may still abort the hello with an error; the peer then never
+// registers the connection as a link.
 func (id identity) dialHello(conn frames, veto func(message.Member) error) (message.Member, error) {
 	own, err := id.sendHello(conn)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return peer.Member, nil
 }
 
-// acceptHello does the hello as the end that listens.
+// acceptHello performs the hello as the listening end.
 func (id identity) acceptHello(conn frames) (message.Member, error) {
 	peer, peerRaw, err := id.readHello(conn)
 	if err != nil {
@@ -127,7 +128,7 @@
 func (id identity) sendHello(conn frames) ([]byte, error) {
 	nonce := make([]byte, nonceLength)
 	if _, err := rand.Read(nonce); err != nil {
-		return nil, fmt.Errorf("draw a nonce: %w", err)
+		return nil, fmt.Errorf("generate nonce: %w", err)
 	}
 	raw, err := encMode.Marshal(helloFrame{Hello: &hello{Version: id.version, Member: id.self, Nonce: nonce}})
 	if err != nil {
@@ -136,8 +137,8 @@
 	return raw, conn.WriteMessage(websocket.BinaryMessage, raw)
 }
 
-// readHello checks the version first, so that an older peer learns of that and
-// not of a key that it could not have proved in the newer way.
+// readHello checks the version first, so that an older peer gets an error about its
+// version and not about a key that it cannot prove in the newer way.
 func (id identity) readHello(conn frames) (*hello, []byte, error) {
 	frame, raw, err := readFrame(conn)
 	if err != nil {
@@ -164,7 +165,7 @@
 	if hmac.Equal(frame.Proof, proof(id.key, label, diallerHello, acceptorHello)) {
 		return nil
 	}
-	// An empty key is known to everybody.
+	// Anyone can compute a proof with an empty key, so it is never accepted.
 	if len(id.accepted) > 0 && hmac.Equal(frame.Proof, proof(id.accepted, label, diallerHello, acceptorHello)) {
 		return nil
 	}
@@ -172,7 +173,7 @@
 	return ErrKey
 }
 
-// proof binds the key to both hellos as they went over the wire.
+// proof computes the HMAC over the label and both hellos as sent over the wire.
 func proof(key []byte, label string, diallerHello, acceptorHello []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(label), diallerHello, acceptorHello} {
@@ -192,7 +193,7 @@
 	return conn.WriteMessage(websocket.BinaryMessage, raw)
 }
 
-// readFrame turns a refusal into the error that it stands for.
+// readFrame reads one frame and returns a refusal as the corresponding error.
 func readFrame(conn frames) (helloFrame, []byte, error) {
 	var frame helloFrame
 	_, raw, err := conn.ReadMessage()
@@ -218,7 +219,7 @@
 	return fmt.Errorf("%w: %s", ErrRefused, r.Detail)
 }
 
-// refuse tells the other end on a best effort; the link is closed anyway.
+// refuse sends a refusal on a best-effort basis; the connection is closed anyway.
 func refuse(conn frames, code refusalCode, detail string) {
 	_ = writeFrame(conn, helloFrame{Refusal: &refusal{Code: code, Detail: detail}})
 }
--- a/internal/peers/hello_test.go
+++ b/internal/peers/hello_test.go
@@ -16,7 +16,7 @@
 type pipe struct {
 	in  <-chan []byte
 	out chan<- []byte
-	// sent keeps what went out.
+	// sent holds all frames written.
 	sent [][]byte
 }
 
@@ -39,7 +39,7 @@
 	return &pipe{in: a, out: b}, &pipe{in: b, out: a}
 }
 
-func someone(name, key string, version int) identity {
+func newIdentity(name, key string, version int) identity {
 	return identity{
 		version: version,
 		key:     []byte(key),
@@ -52,10 +52,10 @@
 	err    error
 }
 
-func agree(message.Member) error { return nil }
+func acceptAny(message.Member) error { return nil }
 
-// shake runs a hello between two identities.
-func shake(dialler, acceptor identity, veto func(message.Member) error) (dialled, accepted helloResult, d, a *pipe) {
+// performHello runs a hello between two identities.
+func performHello(dialler, acceptor identity, veto func(message.Member) error) (dialled, accepted helloResult, d, a *pipe) {
 	d, a = pipes()
 	done := make(chan helloResult)
 	go func() {
@@ -71,8 +71,8 @@
 var _ = Describe("the hello", func() {
 	const key = "0123456789abcdef0123456789abcdef"
 
-	It("tells each end who the other is, and shows the key to nobody", func() {
-		dialled, accepted, d, a := shake(someone("a", key, 1), someone("b", key, 1), agree)
+	It("identifies each end to the other and never sends the key", func() {
+		dialled, accepted, d, a := performHello(newIdentity("a", key, 1), newIdentity("b", key, 1), acceptAny)
 		Expect(dialled.err).NotTo(HaveOccurred())
 		Expect(accepted.err).NotTo(HaveOccurred())
 		Expect(dialled.member.Name).To(Equal("b"))
@@ -82,19 +82,19 @@
 		}
 	})
 
-	It("refuses another key at both ends", func() {
-		dialled, accepted, _, _ := shake(someone("a", key, 1), someone("b", "another key, as long as the first", 1), agree)
+	It("is refused at both ends if the keys differ", func() {
+		dialled, accepted, _, _ := performHello(newIdentity("a", key, 1), newIdentity("b", "another key, as long as the first", 1), acceptAny)
 		Expect(dialled.err).To(MatchError(ErrKey))
 		Expect(accepted.err).To(MatchError(ErrKey))
 	})
 
-	// The shared key is changed entry by entry, in three rounds: all accept the new
-	// one, all use it, none accepts the old one. In each round every entry must
-	// link with every other, whichever of the two has gone on already.
-	It("holds in each round of a change of the key", func() {
+	// The shared key is rotated entry by entry in three rounds: all entries accept the
+	// new key, all use it, none accepts the old one. In each round every entry must link
+	// with every other, whether or not either of the two has already changed.
+	It("succeeds in each round of a key rotation", func() {
 		const fresh = "another key, as long as the first"
 		with := func(name, key, accepted string) identity {
-			id := someone(name, key, 1)
+			id := newIdentity(name, key, 1)
 			id.accepted = []byte(accepted)
 			return id
 		}
@@ -102,30 +102,30 @@
 		for i := range rounds[1:] {
 			before, after := rounds[i], rounds[i+1]
 			for _, pair := range [][2][2]string{{before, after}, {after, before}, {after, after}} {
-				dialled, accepted, _, _ := shake(with("a", pair[0][0], pair[0][1]), with("b", pair[1][0], pair[1][1]), agree)
+				dialled, accepted, _, _ := performHello(with("a", pair[0][0], pair[0][1]), with("b", pair[1][0], pair[1][1]), acceptAny)
 				Expect(dialled.err).NotTo(HaveOccurred())
 				Expect(accepted.err).NotTo(HaveOccurred())
 			}
 		}
-		dialled, accepted, _, _ := shake(with("a", key, ""), with("b", fresh, ""), agree)
+		dialled, accepted, _, _ := performHello(with("a", key, ""), with("b", fresh, ""), acceptAny)
 		Expect(dialled.err).To(MatchError(ErrKey))
 		Expect(accepted.err).To(MatchError(ErrKey))
 	})
 
-	// A stranger proves itself by the empty key, and cares for no proof of the
-	// other end. Settings without an accepted key must not mean this one.
-	It("does not take the empty key where none is accepted", func() {
-		stranger, careful := someone("a", "", 1), someone("b", key, 1)
-		stranger.accepted, careful.accepted = []byte(key), []byte{}
-		_, accepted, _, _ := shake(stranger, careful, agree)
+	// A client computes its proof with the empty key and ignores the proof of the other
+	// end. Settings without an accepted key must not be taken for an empty accepted key.
+	It("does not accept the empty key if no second key is configured", func() {
+		client, acceptor := newIdentity("a", "", 1), newIdentity("b", key, 1)
+		client.accepted, acceptor.accepted = []byte(key), []byte{}
+		_, accepted, _, _ := performHello(client, acceptor, acceptAny)
 		Expect(accepted.err).To(MatchError(ErrKey))
 	})
 
-	// During an upgrade an entry of the next version dials an old one. Both ends
-	// must name both versions, also where the key would differ as well, so that an
-	// operator does not look for a wrong key.
-	It("refuses another version at both ends, and names both", func() {
-		dialled, accepted, _, _ := shake(someone("a", key, 2), someone("b", "another key", 1), agree)
+	// During an upgrade an entry of the next version dials an old one. Both ends must
+	// report both versions, even if the keys differ as well, so that an operator does not
+	// search for a wrong key.
+	It("is refused at both ends if the versions differ, and the errors name both", func() {
+		dialled, accepted, _, _ := performHello(newIdentity("a", key, 2), newIdentity("b", "another key", 1), acceptAny)
 		Expect(dialled.err).To(MatchError(ErrVersion))
 		Expect(accepted.err).To(MatchError(ErrVersion))
 		for _, err := range []error{dialled.err, accepted.err} {
@@ -133,49 +133,49 @@
 		}
 	})
 
-	// A stranger without the key records the proofs of one hello and sends them
-	// again in the next. The acceptor's nonce is new, so the old proof is wrong.
-	It("refuses a proof that was recorded in a former hello", func() {
-		_, _, recorded, _ := shake(someone("a", key, 1), someone("b", key, 1), agree)
+	// A client without the key records the proofs of one hello and replays them in the
+	// next. The acceptor's nonce is new, so the old proof must be refused.
+	It("refuses a proof replayed from an earlier hello", func() {
+		_, _, recorded, _ := performHello(newIdentity("a", key, 1), newIdentity("b", key, 1), acceptAny)
 		d, a := pipes()
 		for _, frame := range recorded.sent {
 			Expect(d.WriteMessage(2, frame)).To(Succeed())
 		}
-		_, err := someone("b", key, 1).acceptHello(a)
+		_, err := newIdentity("b", key, 1).acceptHello(a)
 		Expect(err).To(MatchError(ErrKey))
 	})
 
-	// A stranger sends the acceptor's own proof back to it as the dialler's.
-	It("refuses its own proof sent back", func() {
+	// A client without the key reflects the acceptor's proof as the dialler's.
+	It("refuses its own proof when it is reflected", func() {
 		d, a := pipes()
 		go func() {
 			defer GinkgoRecover()
-			own, err := someone("a", "unknown", 1).sendHello(d)
+			own, err := newIdentity("a", "unknown", 1).sendHello(d)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(own).NotTo(BeEmpty())
 			_, _, _ = d.ReadMessage()
 			_, proof, _ := d.ReadMessage()
 			Expect(d.WriteMessage(2, proof)).To(Succeed())
 		}()
-		_, err := someone("b", key, 1).acceptHello(a)
+		_, err := newIdentity("b", key, 1).acceptHello(a)
 		Expect(err).To(MatchError(ErrKey))
 	})
 
-	It("ends before the acceptor counts the link, where the dialler has one already", func() {
+	It("ends before the acceptor registers the link if the dialler already has one", func() {
 		veto := func(message.Member) error { return errLinked }
-		dialled, accepted, _, _ := shake(someone("a", key, 1), someone("b", key, 1), veto)
+		dialled, accepted, _, _ := performHello(newIdentity("a", key, 1), newIdentity("b", key, 1), veto)
 		Expect(dialled.err).To(MatchError(errLinked))
 		Expect(dialled.member.Name).To(Equal("b"))
 		Expect(accepted.err).To(MatchError(errPipe))
 	})
 
-	It("refuses a first frame that is no hello", func() {
+	It("refuses a first frame that is not a hello", func() {
 		d, a := pipes()
 		Expect(d.WriteMessage(2, []byte("GET /"))).To(Succeed())
-		_, err := someone("b", key, 1).acceptHello(a)
+		_, err := newIdentity("b", key, 1).acceptHello(a)
 		Expect(err).To(MatchError(ErrMalformed))
 		Expect(writeFrame(d, helloFrame{Welcome: true})).To(Succeed())
-		_, err = someone("b", key, 1).acceptHello(a)
+		_, err = newIdentity("b", key, 1).acceptHello(a)
 		Expect(err).To(MatchError(ErrMalformed))
 	})
 })
--- a/internal/peers/kind.go
+++ b/internal/peers/kind.go
@@ -21,20 +21,20 @@
 	KindPreempt
 	KindDone
 	KindRunning
-	KindFloorAsk
+	KindFloorRequest
 	KindFloorReply
-	KindOwnerAsk
+	KindOwnerRequest
 	KindOwnerReply
-	KindClaimAsk
+	KindClaimRequest
 	KindClaimReply
 	KindClaimRelease
 	KindSuspicion
-	KindDocumentAsk
+	KindDocumentRequest
 	KindDocumentReply
 	kindEnd
 )
 
-// decoder reads the list of all messages of one type in a packet.
+// decoder decodes the list of all messages of one type in a packet.
 type decoder func(cbor.RawMessage) ([]message.Message, error)
 
 type kindInfo struct {
@@ -43,28 +43,28 @@
 }
 
 var kinds = [kindEnd]kindInfo{
-	KindHeartbeat:     {"heartbeat", decodeList[message.Heartbeat]},
-	KindOffer:         {"offer", decodeList[message.Offer]},
-	KindWithdraw:      {"withdraw", decodeList[message.Withdraw]},
-	KindGrant:         {"grant", decodeList[message.Grant]},
-	KindQueued:        {"queued", decodeList[message.Queued]},
-	KindRefuse:        {"refuse", decodeList[message.Refuse]},
-	KindPreempt:       {"preempt", decodeList[message.Preempt]},
-	KindDone:          {"done", decodeList[message.Done]},
-	KindRunning:       {"running", decodeList[message.Running]},
-	KindFloorAsk:      {"floor_ask", decodeList[message.FloorAsk]},
-	KindFloorReply:    {"floor_reply", decodeList[message.FloorReply]},
-	KindOwnerAsk:      {"owner_ask", decodeList[message.OwnerAsk]},
-	KindOwnerReply:    {"owner_reply", decodeList[message.OwnerReply]},
-	KindClaimAsk:      {"claim_ask", decodeList[message.ClaimAsk]},
-	KindClaimReply:    {"claim_reply", decodeList[message.ClaimReply]},
-	KindClaimRelease:  {"claim_release", decodeList[message.ClaimRelease]},
-	KindSuspicion:     {"suspicion", decodeList[message.Suspicion]},
-	KindDocumentAsk:   {"document_ask", decodeList[message.DocumentAsk]},
-	KindDocumentReply: {"document_reply", decodeList[message.DocumentReply]},
+	KindHeartbeat:       {"heartbeat", decodeList[message.Heartbeat]},
+	KindOffer:           {"offer", decodeList[message.Offer]},
+	KindWithdraw:        {"withdraw", decodeList[message.Withdraw]},
+	KindGrant:           {"grant", decodeList[message.Grant]},
+	KindQueued:          {"queued", decodeList[message.Queued]},
+	KindRefuse:          {"refuse", decodeList[message.Refuse]},
+	KindPreempt:         {"preempt", decodeList[message.Preempt]},
+	KindDone:            {"done", decodeList[message.Done]},
+	KindRunning:         {"running", decodeList[message.Running]},
+	KindFloorRequest:    {"floor_ask", decodeList[message.FloorAsk]},
+	KindFloorReply:      {"floor_reply", decodeList[message.FloorReply]},
+	KindOwnerRequest:    {"owner_ask", decodeList[message.OwnerAsk]},
+	KindOwnerReply:      {"owner_reply", decodeList[message.OwnerReply]},
+	KindClaimRequest:    {"claim_ask", decodeList[message.ClaimAsk]},
+	KindClaimReply:      {"claim_reply", decodeList[message.ClaimReply]},
+	KindClaimRelease:    {"claim_release", decodeList[message.ClaimRelease]},
+	KindSuspicion:       {"suspicion", decodeList[message.Suspicion]},
+	KindDocumentRequest: {"document_ask", decodeList[message.DocumentAsk]},
+	KindDocumentReply:   {"document_reply", decodeList[message.DocumentReply]},
 }
 
-// String is the kind's name in metrics.
+// String returns the kind's name in metrics.
 func (k Kind) String() string {
 	if !k.valid() {
 		return "unknown"
@@ -74,12 +74,12 @@
 
 func (k Kind) valid() bool { return k > 0 && k < kindEnd }
 
-// droppable reports whether a message of this kind is sent again anyway, so that
-// a full queue may drop it: heartbeats are periodic, offers are refreshed.
+// droppable reports whether messages of this kind are sent repeatedly, so that a full
+// queue may drop them: heartbeats are periodic, offers are refreshed.
 func (k Kind) droppable() bool { return k == KindHeartbeat || k == KindOffer }
 
-// kindOf panics for a type that is not listed: a programming error that the test
-// of every message type finds.
+// kindOf returns the kind of a message. It panics for a type that is not listed, which
+// is a programming error that the test of all message types detects.
 func kindOf(m message.Message) Kind {
 	switch m.(type) {
 	case message.Heartbeat:
@@ -101,15 +101,15 @@
 	case message.Running:
 		return KindRunning
 	case message.FloorAsk:
-		return KindFloorAsk
+		return KindFloorRequest
 	case message.FloorReply:
 		return KindFloorReply
 	case message.OwnerAsk:
-		return KindOwnerAsk
+		return KindOwnerRequest
 	case message.OwnerReply:
 		return KindOwnerReply
 	case message.ClaimAsk:
-		return KindClaimAsk
+		return KindClaimRequest
 	case message.ClaimReply:
 		return KindClaimReply
 	case message.ClaimRelease:
@@ -117,7 +117,7 @@
 	case message.Suspicion:
 		return KindSuspicion
 	case message.DocumentAsk:
-		return KindDocumentAsk
+		return KindDocumentRequest
 	case message.DocumentReply:
 		return KindDocumentReply
 	}
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// maxFrame bounds one frame: a document of 1 MiB and a batch beside it.
+	// maxFrame bounds the bytes of one frame: a document of 1 MiB and a batch of messages.
 	maxFrame = 4 << 20
-	// writeTimeout ends a link whose other end takes nothing.
+	// writeTimeout ends a link whose other end does not read.
 	writeTimeout = 5 * time.Second
-	// pingsPerIdle is how many pings a link may miss before it counts as dead.
+	// pingsPerIdle is the number of pings sent within the idle timeout of a link.
 	pingsPerIdle = 3
 )
 
-// link is one connection after the hello. Its reader runs on the goroutine that
-// calls run, its writer on one of its own.
+// link is one connection after the hello. It reads on the goroutine that calls run and
+// writes on another one.
 type link struct {
 	conn     *websocket.Conn
 	member   message.Member
 	queue    *queue
 	counters *counters
 	deliver  func(entry.Input)
-	// idle bounds the time without any frame from the peer, pongs included. A
-	// half-open connection gives no error, only silence.
+	// idle bounds the time without any frame from the peer, including pongs. A
+	// half-open connection causes no error; frames merely stop arriving.
 	idle time.Duration
 
 	stopOnce sync.Once
 	stopping chan struct{}
 	reason   error
-	// done is closed after PeerDown was delivered.
+	// done is closed after PeerDown has been delivered.
 	done chan struct{}
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// run delivers PeerUp, what the peer sends, and PeerDown, in this order, and
-// returns why the link ended.
+// run delivers PeerUp, the messages of the peer, and PeerDown, in this order. It
+// returns the reason why the link ended.
 func (k *link) run() error {
 	defer close(k.done)
 	var writer sync.WaitGroup
@@ -66,7 +66,7 @@
 	return k.reason
 }
 
-// stop ends the link; the first reason counts. It never waits.
+// stop ends the link and never blocks. Only the reason of the first call is kept.
 func (k *link) stop(reason error) {
 	k.stopOnce.Do(func() {
 		k.reason = reason
@@ -74,7 +74,7 @@
 	})
 }
 
-// send queues a message and never waits.
+// send queues a message and never blocks.
 func (k *link) send(m message.Message) {
 	if !k.queue.push(m) {
 		k.counters.dropped(kindOf(m), 1)
@@ -113,12 +113,12 @@
 	}
 }
 
-// extend gives the peer another idle time from now.
+// extend postpones the read deadline to a full idle timeout from now.
 func (k *link) extend() error {
 	return k.conn.SetReadDeadline(time.Now().Add(k.idle))
 }
 
-// write sends what is queued until the link stops, then closes the connection,
+// write sends the queued messages until the link stops. It then closes the connection,
 // which also ends the reader.
 func (k *link) write() {
 	defer k.conn.Close()
@@ -128,7 +128,7 @@
 		select {
 		case <-k.stopping:
 			if k.reason == errClosed {
-				_ = k.flush() // the last heartbeat says that we stopped
+				_ = k.flush() // the last heartbeat announces the stop
 			}
 			return
 		case <-ping.C:
@@ -144,7 +144,7 @@
 }
 
 func (k *link) flush() error {
-	for batch := k.queue.take(); batch != nil; batch = k.queue.take() {
+	for batch := k.queue.nextBatch(); batch != nil; batch = k.queue.nextBatch() {
 		data, count, err := encodePacket(Packet{Messages: batch})
 		if err != nil {
 			return err
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -16,34 +16,35 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// DefaultIdleTimeout is the silence after which a link counts as dead.
+// DefaultIdleTimeout is the time without any frame from the peer after which a link is
+// considered dead.
 const DefaultIdleTimeout = 6 * time.Second
 
-// Options says how links are made.
+// Options configures Links.
 type Options struct {
 	Self message.Member
 	// Key is the shared key.
 	Key []byte
-	// AcceptedKey is a second key by which a peer may prove itself; nil: none.
+	// AcceptedKey is a second key with which a peer may authenticate; nil means none.
 	AcceptedKey []byte
 	// TLS is nil for plain TCP.
 	TLS *tls.Config
-	// Seeds are addresses to connect to from the start and never to forget.
+	// Seeds are addresses that are dialled from the start and never forgotten.
 	Seeds []string
-	// Deliver hands an input to the core loop; it may wait for room, which holds
-	// up the peer's connection.
+	// Deliver passes an input to the core loop. It may block until the loop has
+	// capacity, which applies back pressure to the peer's connection.
 	Deliver func(entry.Input)
 	Log     logrus.FieldLogger
-	// IdleTimeout and QueueSize are the package's defaults where zero.
+	// IdleTimeout and QueueSize have the package's defaults if zero.
 	IdleTimeout time.Duration
 	QueueSize   int
-	// Version is message.Version where zero.
+	// Version is message.Version if zero.
 	Version int
 }
 
 // Links holds the links of this entry, one for each peer. The end with the
-// smaller incarnation dials; where both would, two links would come about for
-// each pair and one would have to be cut while messages are on it.
+// smaller incarnation dials. If both ends did, each pair would get two links and
+// one of them would have to be closed while it carries messages.
 type Links struct {
 	options  Options
 	identity identity
@@ -58,7 +59,7 @@
 	addresses map[string]*address
 }
 
-// New makes the links of an entry; Start begins to accept and to dial.
+// New returns the links of an entry. Start begins to accept and to dial.
 func New(options Options) *Links {
 	if options.IdleTimeout == 0 {
 		options.IdleTimeout = DefaultIdleTimeout
@@ -89,15 +90,15 @@
 	}
 	l.group.Go(func() {
 		if err := l.server.Serve(listener); err != nil {
-			l.options.Log.WithError(err).Error("peers' listener ended")
+			l.options.Log.WithError(err).Error("peer listener failed")
 		}
 	})
 	for _, seed := range l.options.Seeds {
-		l.learn(seed, sourceSeed)
+		l.addAddress(seed, sourceSeed)
 	}
 }
 
-// Listed sets which peer addresses the instance list names now.
+// SetListed sets the peer addresses that the instance list contains.
 func (l *Links) Listed(list []string) {
 	l.mutex.Lock()
 	for _, a := range l.addresses {
@@ -105,11 +106,11 @@
 	}
 	l.mutex.Unlock()
 	for _, text := range list {
-		l.learn(text, sourceList)
+		l.addAddress(text, sourceList)
 	}
 }
 
-// Send queues a message for a peer and never waits; without a link it is
+// Send queues a message for a peer and never blocks. Without a link the message is
 // dropped and counted.
 func (l *Links) Send(to ident.Incarnation, m message.Message) {
 	l.mutex.RLock()
@@ -122,7 +123,7 @@
 	link.send(m)
 }
 
-// Stats reads the counters.
+// Stats returns the current values of the counters.
 func (l *Links) Stats() Stats {
 	stats := l.counters.read()
 	l.mutex.RLock()
@@ -131,7 +132,7 @@
 	return stats
 }
 
-// Close ends all links and waits until their PeerDown was delivered.
+// Close closes all links and waits until their PeerDown inputs have been delivered.
 func (l *Links) Close() {
 	l.cancel()
 	l.mutex.Lock()
@@ -140,15 +141,15 @@
 	}
 	l.mutex.Unlock()
 	if err := l.server.Shutdown(); err != nil {
-		l.options.Log.WithError(err).Warn("peers' listener did not close")
+		l.options.Log.WithError(err).Warn("peer listener was not shut down")
 	}
 	l.group.Wait()
 }
 
-// hold runs a link until it ends. A link that stands already with the same
-// incarnation is half-open, or the dialler would not have come again; it is
-// ended first, so that PeerDown of the old comes before PeerUp of the new.
-func (l *Links) hold(k *link) error {
+// serve runs a link until it ends. An existing link with the same incarnation must be
+// half-open, since the dialler has opened a new one. It is closed first, so that
+// PeerDown of the old link is delivered before PeerUp of the new one.
+func (l *Links) serve(k *link) error {
 	for !l.register(k) {
 		l.mutex.RLock()
 		old := l.links[k.member.Incarnation]
@@ -161,13 +162,13 @@
 	if l.ctx.Err() != nil {
 		k.stop(errClosed)
 	}
-	l.nudge(k.member.PeerAddress)
+	l.wakeAddress(k.member.PeerAddress)
 	l.options.Log.WithFields(peerFields(k.member)).Info("peer link is up")
 	err := k.run()
 	l.unregister(k)
 	line := l.options.Log.WithFields(peerFields(k.member)).WithError(err)
 	if errors.Is(err, errClosed) {
-		line.Info("peer link is down") // this process ends
+		line.Info("peer link is down") // this process is shutting down
 	} else {
 		line.Warn("peer link is down")
 	}
@@ -195,12 +196,12 @@
 		delete(l.links, k.member.Incarnation)
 	}
 	if a := l.addresses[k.member.PeerAddress]; a != nil {
-		a.nudge()
+		a.wakeUp()
 	}
 }
 
-// linkedAt returns the link to whoever said that it has this address, or was
-// found there under an address other than its own.
+// linkedAt returns the link to the peer that reports this address as its own, or that
+// answered there although it reports another address.
 func (l *Links) linkedAt(a *address) *link {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// dials reports whether this end is the one that opens the link to a peer.
+// dials reports whether this end opens the link to a peer.
 func (l *Links) dials(peer ident.Incarnation) bool {
 	return l.options.Self.Incarnation < peer
 }
--- a/internal/peers/packet.go
+++ b/internal/peers/packet.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// MaxBatch bounds the messages of one packet.
+	// MaxBatch bounds the number of messages in one packet.
 	MaxBatch = 512
-	// maxNesting and maxElements bound what one frame can make the decoder build.
+	// maxNesting and maxElements bound the structures that the decoder builds for one frame.
 	maxNesting  = 16
 	maxElements = 65536
 )
@@ -21,29 +21,29 @@
 	decMode = mustDecMode()
 )
 
-// Packet is one frame on a link: a batch of messages in the order of sending.
+// Packet is one frame on a link: a batch of messages in sending order.
 type Packet struct {
 	Messages []message.Message
 }
 
 // wirePacket groups the messages by type, so that each list is decoded into one
-// typed slice, and keeps the order of sending across types: a Withdraw that
-// overtook the Offer before it would leave the offer standing.
+// typed slice. Order keeps the sending order across types: a Withdraw that overtook
+// its Offer would leave the offer in force.
 type wirePacket struct {
 	Order []byte                   `cbor:"1,keyasint"`
 	Lists map[Kind]cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// kindCount is the part of a packet that one type takes up.
+// kindCount is the number of messages of one type in a packet, and their size.
 type kindCount struct {
 	messages int
 	bytes    int
 }
 
-// counts is the same for all types.
+// counts holds a kindCount for each type.
 type counts [kindEnd]kindCount
 
-// encodePacket forms the frame and counts what each type contributes.
+// encodePacket encodes a frame and counts the messages and bytes of each type.
 func encodePacket(p Packet) ([]byte, counts, error) {
 	var lists [kindEnd][]message.Message
 	var count counts
@@ -74,7 +74,7 @@
 	return data, count, nil
 }
 
-// decodePacket reads a frame; every error wraps ErrMalformed.
+// decodePacket decodes a frame. All errors wrap ErrMalformed.
 func decodePacket(data []byte) (Packet, counts, error) {
 	var count counts
 	var wire wirePacket
@@ -96,17 +96,18 @@
 		lists[kind] = list
 		count[kind] = kindCount{messages: len(list), bytes: len(raw)}
 	}
-	messages, err := inOrder(wire.Order, &lists)
+	messages, err := mergeInOrder(wire.Order, &lists)
 	return Packet{Messages: messages}, count, err
 }
 
-// inOrder merges the lists; each message must be named once by the order.
-func inOrder(order []byte, lists *[kindEnd][]message.Message) ([]message.Message, error) {
+// mergeInOrder merges the lists into sending order. The order must refer to each message
+// exactly once.
+func mergeInOrder(order []byte, lists *[kindEnd][]message.Message) ([]message.Message, error) {
 	messages := make([]message.Message, 0, len(order))
 	for _, b := range order {
 		kind := Kind(b)
 		if !kind.valid() || len(lists[kind]) == 0 {
-			return nil, fmt.Errorf("%w: the order names a message that is not there", ErrMalformed)
+			return nil, fmt.Errorf("%w: order refers to a message that is not in the packet", ErrMalformed)
 		}
 		messages = append(messages, lists[kind][0])
 		lists[kind] = lists[kind][1:]
--- a/internal/peers/packet_test.go
+++ b/internal/peers/packet_test.go
@@ -11,8 +11,8 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// everyMessage is one message of each type, each field set to another value.
-func everyMessage() []message.Message {
+// oneOfEachType returns one message of each type, with a different value in each field.
+func oneOfEachType() []message.Message {
 	types := []message.Message{
 		message.Heartbeat{}, message.Offer{}, message.Withdraw{}, message.Grant{}, message.Queued{},
 		message.Refuse{}, message.Preempt{}, message.Done{}, message.Running{}, message.FloorAsk{},
@@ -57,9 +57,9 @@
 }
 
 var _ = Describe("a packet", func() {
-	It("carries every message type whole and in the order of sending", func() {
-		Expect(everyMessage()).To(HaveLen(int(kindEnd) - 1))
-		batch := append(everyMessage(), everyMessage()...)
+	It("carries every message type completely and in sending order", func() {
+		Expect(oneOfEachType()).To(HaveLen(int(kindEnd) - 1))
+		batch := append(oneOfEachType(), oneOfEachType()...)
 		batch[0], batch[30] = batch[30], batch[0]
 		data, sent, err := encodePacket(Packet{Messages: batch})
 		Expect(err).NotTo(HaveOccurred())
@@ -73,15 +73,15 @@
 		}
 	})
 
-	DescribeTable("is refused when it makes no sense", func(wire any) {
+	DescribeTable("is refused if it is inconsistent", func(wire any) {
 		data, err := encMode.Marshal(wire)
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = decodePacket(data)
 		Expect(err).To(MatchError(ErrMalformed))
 	},
 		Entry("not a map", "text"),
-		Entry("names a message that is not there", wirePacket{Order: []byte{byte(KindGrant)}}),
-		Entry("holds a message that the order leaves out", wirePacket{Lists: lists(KindDocumentAsk, []message.DocumentAsk{{}})}),
+		Entry("refers to a missing message", wirePacket{Order: []byte{byte(KindGrant)}}),
+		Entry("has a message that is missing from the order", wirePacket{Lists: lists(KindDocumentRequest, []message.DocumentAsk{{}})}),
 		Entry("unknown message type", wirePacket{Order: []byte{200}, Lists: lists(200, []int{1})}),
 		Entry("list of another type", wirePacket{Order: []byte{byte(KindGrant)}, Lists: lists(KindGrant, []string{"x"})}),
 		Entry("more messages than a batch", wirePacket{Order: make([]byte, MaxBatch+1)}),
@@ -97,7 +97,7 @@
 }
 
 func FuzzDecodePacket(f *testing.F) {
-	data, _, err := encodePacket(Packet{Messages: everyMessage()})
+	data, _, err := encodePacket(Packet{Messages: oneOfEachType()})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/peers/queue.go
+++ b/internal/peers/queue.go
@@ -6,18 +6,17 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// QueueSize bounds the messages that wait for one peer.
+// QueueSize is the default bound on the messages queued for one peer.
 const QueueSize = 4096
 
-// queue holds what waits for one link. When it is full the oldest heartbeats and
-// offers go, since they are sent again; if there are too few of them the link is
-// given up, because a grant or a reply that vanished from a link that stands
-// would be waited for in vain, while a broken link is something that both ends
-// recover from.
+// queue holds the messages to be sent on one link. When it is full, the oldest
+// heartbeats and offers are dropped, since they are sent again. If it holds none, the
+// link is closed: the peer would wait in vain for a grant or a reply lost from a
+// working link, whereas both ends recover from a broken link.
 type queue struct {
 	size    int
 	dropped func(Kind, int)
-	// wake tells the writer that something waits.
+	// wake signals the writer that messages are queued.
 	wake chan struct{}
 
 	mutex   sync.Mutex
@@ -28,11 +27,12 @@
 	return &queue{size: size, dropped: dropped, wake: make(chan struct{}, 1)}
 }
 
-// push adds a message; false: the queue is full of messages that may not be dropped.
+// push adds a message. It returns false if the queue is full of messages that must not
+// be dropped.
 func (q *queue) push(m message.Message) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if len(q.waiting) >= q.size && !q.makeRoom() {
+	if len(q.waiting) >= q.size && !q.dropOldest() {
 		return false
 	}
 	q.waiting = append(q.waiting, m)
@@ -43,17 +43,17 @@
 	return true
 }
 
-// makeRoom drops the oldest droppable messages, up to a quarter of the queue, so
-// that a run of pushes on a full queue does not search it each time.
-func (q *queue) makeRoom() bool {
+// dropOldest drops the oldest droppable messages, up to a quarter of the queue, so
+// that a series of pushes on a full queue does not search it each time.
+func (q *queue) dropOldest() bool {
 	goal := max(q.size/4, 1)
-	var gone counts
+	var dropped counts
 	kept := q.waiting[:0]
 	total := 0
 	for _, m := range q.waiting {
 		kind := kindOf(m)
 		if total < goal && kind.droppable() {
-			gone[kind].messages++
+			dropped[kind].messages++
 			total++
 			continue
 		}
@@ -61,7 +61,7 @@
 	}
 	clear(q.waiting[len(kept):])
 	q.waiting = kept
-	for kind, count := range gone {
+	for kind, count := range dropped {
 		if count.messages > 0 {
 			q.dropped(Kind(kind), count.messages)
 		}
@@ -69,14 +69,14 @@
 	return total > 0
 }
 
-// take removes the next batch, oldest first: up to MaxBatch messages, and not
-// many after a large document.
-func (q *queue) take() []message.Message {
+// nextBatch removes and returns the next batch, oldest first. A batch has up to MaxBatch
+// messages and ends after batchBytes.
+func (q *queue) nextBatch() []message.Message {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	n := 0
 	for size := 0; n < len(q.waiting) && n < MaxBatch && size < batchBytes; n++ {
-		size += roughSize(q.waiting[n])
+		size += estimateSize(q.waiting[n])
 	}
 	if n == 0 {
 		return nil
@@ -90,21 +90,21 @@
 }
 
 const (
-	// batchBytes ends a batch; with one document beyond it a frame stays well
-	// below maxFrame.
+	// batchBytes is the estimated size at which a batch ends. Even if a document exceeds
+	// it, a frame stays well below maxFrame.
 	batchBytes = 512 << 10
-	roughOne   = 256
+	baseSize   = 256
 )
 
-// roughSize estimates a message's bytes where they can be many.
-func roughSize(m message.Message) int {
+// estimateSize estimates the size of a message in bytes.
+func estimateSize(m message.Message) int {
 	switch m := m.(type) {
 	case message.DocumentReply:
-		return roughOne + len(m.Data)
+		return baseSize + len(m.Data)
 	case message.Heartbeat:
-		return roughOne + len(m.Digests)*roughOne
+		return baseSize + len(m.Digests)*baseSize
 	case message.Running:
-		return roughOne + len(m.Runs)*2*roughOne
+		return baseSize + len(m.Runs)*2*baseSize
 	}
-	return roughOne
+	return baseSize
 }
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// linkPath is where peers open links.
+	// linkPath is the path at which peers open links.
 	linkPath = "/v1/peer"
-	// helloTimeout bounds the hello, for strangers who connect and say nothing.
+	// helloTimeout bounds the hello, so that unauthenticated clients cannot hold idle
+	// connections.
 	helloTimeout = 5 * time.Second
-	// maxHello bounds a frame of the hello.
+	// maxHello bounds the bytes of one frame of the hello.
 	maxHello = 8 << 10
-	// maxConnections bounds connections, strangers' included.
+	// maxConnections bounds the connections, including unauthenticated ones.
 	maxConnections = 4096
 	bufferSize     = 4 << 10
 )
@@ -44,39 +45,39 @@
 		ReadTimeout:        helloTimeout,
 		MaxRequestBodySize: maxHello,
 		CloseOnShutdown:    true,
-		// Without it Close on an upgraded connection does nothing until the handler
-		// returns, and the handler is a read that only Close would end.
+		// Without it, Close on an upgraded connection has no effect until the handler
+		// returns, but the handler blocks in a read that only Close ends.
 		KeepHijackedConns: true,
 		Logger:            l.options.Log,
 	}
 }
 
-// accept serves one connection that a peer opened.
+// accept serves a connection opened by a peer.
 func (l *Links) accept(conn *websocket.Conn) {
 	defer conn.Close()
-	if !l.enter() {
+	if !l.trackConnection() {
 		return
 	}
 	defer l.group.Done()
-	limitHello(conn)
+	limitHandshake(conn)
 	member, err := l.identity.acceptHello(conn)
 	if err != nil {
-		l.refused(conn.RemoteAddr().String(), err)
+		l.logFailedHello(conn.RemoteAddr().String(), err)
 		return
 	}
 	if member.Incarnation == l.options.Self.Incarnation {
 		return
 	}
-	l.learn(member.PeerAddress, sourceHello)
+	l.addAddress(member.PeerAddress, sourceHello)
 	if l.dials(member.Incarnation) {
-		l.nudge(member.PeerAddress)
+		l.wakeAddress(member.PeerAddress)
 		return
 	}
-	_ = l.hold(newLink(conn, member, l)) // logged there
+	_ = l.serve(newLink(conn, member, l)) // logged there
 }
 
-// enter counts a connection in, unless the links are closing.
-func (l *Links) enter() bool {
+// trackConnection adds a connection to the wait group, unless the links are being closed.
+func (l *Links) trackConnection() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.ctx.Err() != nil {
@@ -86,17 +87,18 @@
 	return true
 }
 
-// limitHello bounds what a peer may take of us before it has proved itself.
-func limitHello(conn *websocket.Conn) {
+// limitHandshake limits the size and the time of a hello with a peer that is not
+// authenticated yet.
+func limitHandshake(conn *websocket.Conn) {
 	deadline := time.Now().Add(helloTimeout)
 	conn.SetReadLimit(maxHello)
 	_ = conn.SetReadDeadline(deadline)  // a closed connection shows at the
 	_ = conn.SetWriteDeadline(deadline) // first read or write
 }
 
-// refused logs a failed hello; a wrong version, key or certificate is an
-// operator's mistake and worth a warning, a connection that just ended is not.
-func (l *Links) refused(address string, err error) {
+// logFailedHello logs a failed hello. A wrong version, key or certificate is an operator's
+// mistake and gets a warning, unlike a connection that merely ended.
+func (l *Links) logFailedHello(address string, err error) {
 	line := l.options.Log.WithError(err).WithField("address", address)
 	if errors.Is(err, ErrVersion) || errors.Is(err, ErrKey) || certificateRefused(err) {
 		line.Warn("peer link refused")
@@ -105,11 +107,11 @@
 	line.Debug("peer hello failed")
 }
 
-// opAlert is the operation of errors by which crypto/tls tells of an alert that
-// the other end sent.
+// opAlert is the Op of the net.OpError with which crypto/tls reports an alert from the
+// other end.
 const opAlert = "remote error"
 
-// certificateRefused: one of the ends does not accept the other's certificate.
+// certificateRefused reports whether one of the ends rejected the other's certificate.
 func certificateRefused(err error) bool {
 	var unverified *tls.CertificateVerificationError
 	var op *net.OpError
--- a/internal/peers/stats.go
+++ b/internal/peers/stats.go
@@ -7,20 +7,20 @@
 	Kind             Kind
 	Sent, SentBytes  int64
 	Received, RBytes int64
-	// Dropped counts messages that a full queue left out.
+	// Dropped counts messages dropped by a full queue.
 	Dropped int64
 }
 
-// Stats is a reading of the counters.
+// Stats holds the values of all counters at one time.
 type Stats struct {
 	Kinds []KindStats
-	// SentBytes and ReceivedBytes are whole frames, FramesSent and
-	// FramesReceived their numbers. TCP and WebSocket headers are not counted.
+	// SentBytes and ReceivedBytes count the bytes of complete frames, FramesSent and
+	// FramesReceived the frames. TCP and WebSocket headers are not counted.
 	SentBytes, ReceivedBytes   int64
 	FramesSent, FramesReceived int64
 	// NoLink counts messages to peers without a link.
 	NoLink int64
-	// Links is the number of links that stand.
+	// Links is the number of established links.
 	Links int
 }
 
--- a/internal/peers/tls_test.go
+++ b/internal/peers/tls_test.go
@@ -22,7 +22,7 @@
 	"sycamoretrail/internal/settings"
 )
 
-// authority signs certificates of entries.
+// authority is a certificate authority that signs certificates of entries.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -53,8 +53,8 @@
 	return a
 }
 
-// issue writes the files of an entry at an IP number, which trusts the
-// authorities given, and reads them as an entry does.
+// issue writes the certificate files of an entry at an IP address that trusts the
+// given authorities, and loads them as an entry does.
 func (a *authority) issue(ip string, trusts ...*authority) *tls.Config {
 	key := newKey()
 	template := &x509.Certificate{
@@ -86,13 +86,14 @@
 	return config
 }
 
-func protected(config *tls.Config, addresses ...string) func(*Options) {
+func withTLS(config *tls.Config, addresses ...string) func(*Options) {
 	return func(o *Options) { o.TLS, o.Seeds = config, addresses }
 }
 
-// shown is what a stranger reads after its handshake with an entry: with TLS 1.3
-// the entry judges a client's certificate only then.
-func shown(address string, config *tls.Config) error {
+// readError returns the error that a client gets from an entry, at the handshake or at the
+// first read: with TLS 1.3 the entry checks a client's certificate only after the client
+// has completed the handshake.
+func readError(address string, config *tls.Config) error {
 	conn, err := tls.Dial("tcp", address, config)
 	if err != nil {
 		return err
@@ -105,53 +106,53 @@
 var _ = Describe("links under TLS", func() {
 	const loopback = "127.0.0.1"
 
-	It("stand and carry messages between entries of one authority", func() {
+	It("are established and carry messages between entries of one authority", func() {
 		ca := newAuthority("ca")
-		a := begin("1", listenAt(loopback+":0"), protected(ca.issue(loopback, ca)))
-		b := begin("2", listenAt(loopback+":0"), protected(ca.issue(loopback, ca), a.address))
-		Eventually(a.seen).Should(HaveLen(1))
-		Eventually(b.seen).Should(HaveLen(1))
+		a := startNode("1", listenAt(loopback+":0"), withTLS(ca.issue(loopback, ca)))
+		b := startNode("2", listenAt(loopback+":0"), withTLS(ca.issue(loopback, ca), a.address))
+		Eventually(a.delivered).Should(HaveLen(1))
+		Eventually(b.delivered).Should(HaveLen(1))
 		a.Send("2", message.DocumentAsk{})
-		Eventually(b.seen).Should(ContainElement(entry.FromPeer{From: "1", Message: message.DocumentAsk{}}))
+		Eventually(b.delivered).Should(ContainElement(entry.FromPeer{From: "1", Message: message.DocumentAsk{}}))
 	})
 
-	// Certificates are replaced one entry after another. While some have the new
-	// authority's and some the old one's, each must still link with each, or the
-	// entries would fall apart in two halves; ca_file holds both meanwhile.
-	It("stand between the old and the new authority's entries while both are trusted", func() {
+	// Certificates are replaced entry by entry. While some entries have a certificate of
+	// the new authority and some of the old one, all must still link with each other, or
+	// they would be partitioned into two groups. In the meantime ca_file holds both.
+	It("are established between entries of the old and the new authority while both are trusted", func() {
 		old, fresh := newAuthority("old"), newAuthority("new")
-		a := begin("1", listenAt(loopback+":0"), protected(old.issue(loopback, old, fresh)))
-		b := begin("2", listenAt(loopback+":0"), protected(fresh.issue(loopback, old, fresh), a.address))
-		Eventually(a.seen).Should(Equal([]entry.Input{a.up(b)}))
-		Eventually(b.seen).Should(Equal([]entry.Input{b.up(a)}))
+		a := startNode("1", listenAt(loopback+":0"), withTLS(old.issue(loopback, old, fresh)))
+		b := startNode("2", listenAt(loopback+":0"), withTLS(fresh.issue(loopback, old, fresh), a.address))
+		Eventually(a.delivered).Should(Equal([]entry.Input{a.up(b)}))
+		Eventually(b.delivered).Should(Equal([]entry.Input{b.up(a)}))
 	})
 
-	It("are refused to who has no certificate of the authority, whatever it trusts", func() {
+	It("are refused to clients without a certificate of the authority, whatever they trust", func() {
 		ca, other := newAuthority("ca"), newAuthority("other")
-		a := begin("1", listenAt(loopback+":0"), protected(ca.issue(loopback, ca)))
-		err := shown(a.address, other.issue(loopback, ca))
+		a := startNode("1", listenAt(loopback+":0"), withTLS(ca.issue(loopback, ca)))
+		err := readError(a.address, other.issue(loopback, ca))
 		Expect(err).To(MatchError(ContainSubstring("remote error: tls")))
 		Expect(certificateRefused(err)).To(BeTrue(), "operators must see it")
 		bare := ca.issue(loopback, ca)
 		bare.Certificates = nil
-		Expect(shown(a.address, bare)).To(MatchError(ContainSubstring("remote error: tls: certificate required")))
-		plain := begin("2", listenAt(loopback+":0"), nil)
+		Expect(readError(a.address, bare)).To(MatchError(ContainSubstring("remote error: tls: certificate required")))
+		plain := startNode("2", listenAt(loopback+":0"), nil)
 		_, err = plain.dial(a.address)
 		Expect(err).To(HaveOccurred())
-		Expect(a.seen()).To(BeEmpty())
+		Expect(a.delivered()).To(BeEmpty())
 	})
 
-	It("are not made to an entry whose certificate names another address or authority", func() {
+	It("are not established to an entry whose certificate names another address or authority", func() {
 		ca, other := newAuthority("ca"), newAuthority("other")
-		a := begin("1", listenAt(loopback+":0"), protected(ca.issue(loopback, ca)))
-		elsewhere := begin("2", listenAt(loopback+":0"), protected(ca.issue("127.0.0.2", ca)))
+		a := startNode("1", listenAt(loopback+":0"), withTLS(ca.issue(loopback, ca)))
+		elsewhere := startNode("2", listenAt(loopback+":0"), withTLS(ca.issue("127.0.0.2", ca)))
 		_, err := a.dial(elsewhere.address)
 		Expect(err).To(MatchError(ContainSubstring("127.0.0.2")))
 		Expect(certificateRefused(err)).To(BeTrue(), "operators must see it")
-		stranger := begin("3", listenAt(loopback+":0"), protected(other.issue(loopback, ca)))
-		_, err = a.dial(stranger.address)
+		untrusted := startNode("3", listenAt(loopback+":0"), withTLS(other.issue(loopback, ca)))
+		_, err = a.dial(untrusted.address)
 		Expect(err).To(MatchError(ContainSubstring("unknown authority")))
-		open := begin("4", listenAt(loopback+":0"), nil)
+		open := startNode("4", listenAt(loopback+":0"), nil)
 		_, err = a.dial(open.address)
 		Expect(err).To(HaveOccurred())
 	})
