--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -12,7 +12,7 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// scripted is a core that answers each kind of input with fixed outputs.
+// scripted is a core whose outputs are defined by react.
 type scripted struct {
 	inputs []entry.Input
 	react  func(entry.Input) []entry.Output
@@ -26,27 +26,27 @@
 	return s.react(in)
 }
 
-// edges records what the loop carried out.
+// edges records the outputs that the loop carried out.
 type edges struct {
-	done []any
-	full bool
+	recorded []any
+	full     bool
 }
 
-func (e *edges) note(what any)                                { e.done = append(e.done, what) }
-func (e *edges) Dispatch(o entry.Dispatch)                    { e.note(o) }
-func (e *edges) Cancel(o entry.CancelRun)                     { e.note(o) }
-func (e *edges) Attach(o entry.Attach)                        { e.note(o) }
-func (e *edges) Order(o entry.Order)                          { e.note(o) }
-func (e *edges) Settle(o entry.Settle)                        { e.note(o) }
-func (e *edges) Join(o entry.Join)                            { e.note(o) }
-func (e *edges) SeeOther(o entry.SeeOther)                    { e.note(o) }
-func (e *edges) Follow(o entry.Follow)                        { e.note(o) }
-func (e *edges) Unfollow(o entry.Unfollow)                    { e.note(o) }
-func (e *edges) Decision(o entry.Decision)                    { e.note(o) }
-func (e *edges) Publish(view *entry.View)                     { e.note(entry.Publish{View: view}) }
-func (e *edges) Send(to ident.Incarnation, m message.Message) { e.note(entry.Send{To: to, Message: m}) }
+func (e *edges) add(what any)                                 { e.recorded = append(e.recorded, what) }
+func (e *edges) Dispatch(o entry.Dispatch)                    { e.add(o) }
+func (e *edges) Cancel(o entry.CancelRun)                     { e.add(o) }
+func (e *edges) Attach(o entry.Attach)                        { e.add(o) }
+func (e *edges) Order(o entry.Order)                          { e.add(o) }
+func (e *edges) Settle(o entry.Settle)                        { e.add(o) }
+func (e *edges) Join(o entry.Join)                            { e.add(o) }
+func (e *edges) SeeOther(o entry.SeeOther)                    { e.add(o) }
+func (e *edges) Follow(o entry.Follow)                        { e.add(o) }
+func (e *edges) Unfollow(o entry.Unfollow)                    { e.add(o) }
+func (e *edges) Decision(o entry.Decision)                    { e.add(o) }
+func (e *edges) Publish(view *entry.View)                     { e.add(entry.Publish{View: view}) }
+func (e *edges) Send(to ident.Incarnation, m message.Message) { e.add(entry.Send{To: to, Message: m}) }
 func (e *edges) Append(o entry.Append) bool {
-	e.note(o)
+	e.add(o)
 	return !e.full
 }
 
@@ -60,7 +60,7 @@
 }
 
 var _ = Describe("the core loop", func() {
-	It("carries out each output once and in order", func() {
+	It("carries out each output once, in order", func() {
 		outputs := []entry.Output{
 			entry.Dispatch{ID: "1"}, entry.CancelRun{ID: "2"}, entry.Settle{ID: "3"}, entry.Join{ID: "4"},
 			entry.Attach{ID: "5"}, entry.Send{To: "6", Message: message.DocumentAsk{}}, entry.Append{Tag: 7},
@@ -72,7 +72,7 @@
 		Expect(loop.Submit(entry.Submit{})).To(BeTrue())
 		var done []any
 		Eventually(func() []any {
-			Expect(loop.Do(context.Background(), func(*scripted) { done = append([]any(nil), e.done...) })).To(Succeed())
+			Expect(loop.Do(context.Background(), func(*scripted) { done = append([]any(nil), e.recorded...) })).To(Succeed())
 			return done
 		}).Should(HaveLen(len(outputs)))
 		for i, out := range outputs {
@@ -80,10 +80,10 @@
 		}
 	})
 
-	// The pool of appends is full, so nothing was sent. The core must hear a
-	// definite no for this tag, or it would keep the append as unknown and wait
-	// for a record that will never be there.
-	It("tells the core of an append that was not taken", func() {
+	// The pool of appends is full, so nothing was sent. The core must get a definite
+	// failure for this tag. Otherwise it would treat the outcome of the append as unknown
+	// and wait for a record that will never be written.
+	It("reports an append that was not accepted to the core", func() {
 		core := &scripted{react: func(in entry.Input) []entry.Output {
 			if _, submit := in.(entry.Submit); submit {
 				return []entry.Output{entry.Append{Tag: 9}}
@@ -103,7 +103,7 @@
 		}).Should(Equal(entry.LogAppended{Tag: 9, Failed: true}))
 	})
 
-	It("says once that the drain is over", func() {
+	It("reports the end of a drain once", func() {
 		loop, _ := start(&scripted{react: func(entry.Input) []entry.Output {
 			return []entry.Output{entry.Drained{}, entry.Drained{}}
 		}}, &edges{})
@@ -112,9 +112,9 @@
 		Eventually(loop.Drained()).Should(BeClosed())
 	})
 
-	// The process ends while a reader of the log and an operator wait for the
-	// loop. Neither may wait for ever, or the process would not exit.
-	It("lets nobody wait once it has stopped", func() {
+	// The process shuts down while a reader of the log and an operator wait for the
+	// loop. Neither may block forever, or the process would not exit.
+	It("blocks no caller after it has stopped", func() {
 		loop, cancel := start(&scripted{react: func(entry.Input) []entry.Output { return nil }}, &edges{})
 		cancel()
 		Eventually(loop.stopped).Should(BeClosed())
@@ -127,10 +127,10 @@
 })
 
 var _ = Describe("a ring", func() {
-	// Callers send more than the core takes. New requests are turned away while
-	// the end of a run still finds room; a lost RunEnded would hold its place at
-	// the target for good.
-	It("keeps places for what must not be lost, in one order", func() {
+	// Callers send more than the core can process. New requests must be refused while
+	// the end of a run is still accepted; a lost RunEnded would occupy its slot at the
+	// target forever.
+	It("reserves places for items that must not be lost, in one order", func() {
 		ring := NewRing[int](4, 2, nil)
 		Expect(ring.TryPush(1)).To(BeTrue())
 		Expect(ring.TryPush(2)).To(BeTrue())
@@ -143,7 +143,7 @@
 		}
 	})
 
-	It("makes Push wait for room", func() {
+	It("makes Push wait for capacity", func() {
 		ring := NewRing[int](1, 1, nil)
 		Expect(ring.Push(1)).To(BeTrue())
 		pushed := make(chan bool)
@@ -153,7 +153,7 @@
 		Expect(<-ring.Items()).To(Equal(2))
 	})
 
-	It("ends a Push that waits when it is stopped", func() {
+	It("ends a waiting Push when it is stopped", func() {
 		stopped := make(chan struct{})
 		ring := NewRing[int](1, 1, stopped)
 		Expect(ring.Push(1)).To(BeTrue())
--- a/internal/duty/loop.go
+++ b/internal/duty/loop.go
@@ -10,9 +10,9 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// The interfaces by which the core loop carries out outputs. No method may wait
-// or deliver an input on the calling goroutine: the loop is the only consumer of
-// its ring, so waiting for room there would stop the entry for good.
+// The interfaces through which the core loop carries out outputs. No method may block
+// or deliver an input on the calling goroutine: the loop is the only consumer of its
+// ring, so waiting for capacity there would deadlock the entry.
 type (
 	// Targets runs requests at targets.
 	Targets interface {
@@ -21,7 +21,7 @@
 		Attach(entry.Attach)
 		Order(entry.Order)
 	}
-	// Flights answers callers that no run answers.
+	// Flights answers callers whose answer does not come from a run.
 	Flights interface {
 		Settle(entry.Settle)
 		Join(entry.Join)
@@ -31,14 +31,14 @@
 	Peers interface {
 		Send(to ident.Incarnation, m message.Message)
 	}
-	// Platform reads and writes the log. Append returns false when it has no
-	// room; nothing was sent then, and the loop tells the core so.
+	// Platform reads and writes the log. Append returns false if it has no capacity.
+	// Nothing was sent then, and the loop reports that to the core.
 	Platform interface {
 		Append(entry.Append) bool
 		Follow(entry.Follow)
 		Unfollow(entry.Unfollow)
 	}
-	// Publisher gives the edges the new view.
+	// Publisher passes a new view to the edges.
 	Publisher interface {
 		Publish(*entry.View)
 	}
@@ -48,7 +48,7 @@
 	}
 )
 
-// Edges is all that the loop acts through.
+// Edges holds the interfaces through which the loop carries out outputs.
 type Edges struct {
 	Targets   Targets
 	Flights   Flights
@@ -59,37 +59,38 @@
 }
 
 const (
-	// TickInterval is how often time passes in the core.
+	// TickInterval is the time between two ticks of the core.
 	TickInterval = 10 * time.Millisecond
-	// RingSize bounds the inputs that wait; about a second of full load.
+	// RingSize bounds the queued inputs. It holds about a second of inputs at full load.
 	RingSize = 16384
-	// RingReserved is the part of it for inputs that must not be lost.
+	// RingReserved is the part of RingSize that is reserved for inputs that must not be
+	// lost.
 	RingReserved = RingSize / 4
 )
 
-// ErrStopped says that the loop has ended.
+// ErrStopped is returned once the loop has ended.
 var ErrStopped = errors.New("core loop has stopped")
 
-// Core is the state machine that a loop owns; *entry.Entry in a process.
+// Core is the state machine that a loop owns. It is *entry.Entry outside of tests.
 type Core interface {
 	Step(now time.Time, in entry.Input) []entry.Output
 }
 
-// Loop owns the core: one goroutine steps it, input by input.
+// Loop owns the core. One goroutine steps it, input by input.
 type Loop[C Core] struct {
-	core    C
-	clock   func() time.Time
-	edges   Edges
-	inputs  *Ring[entry.Input]
-	queries chan func(C)
-	stopped chan struct{}
-	drained chan struct{}
-	isDrain bool
-	// follow holds inputs that arose while outputs were carried out.
-	follow []entry.Input
+	core      C
+	clock     func() time.Time
+	edges     Edges
+	inputs    *Ring[entry.Input]
+	queries   chan func(C)
+	stopped   chan struct{}
+	drained   chan struct{}
+	isDrained bool
+	// followUps holds inputs that resulted from carrying out outputs.
+	followUps []entry.Input
 }
 
-// NewLoop makes a loop; Run starts it. The edges may be set until then.
+// NewLoop returns a loop. Its edges must be set with Connect before Run starts it.
 func NewLoop[C Core](core C, clock func() time.Time) *Loop[C] {
 	stopped := make(chan struct{})
 	return &Loop[C]{
@@ -102,28 +103,30 @@
 	}
 }
 
-// Connect sets the edges, which themselves need the loop to deliver inputs.
+// Connect sets the edges. They are created after the loop, because they deliver inputs
+// to it.
 func (l *Loop[C]) Connect(edges Edges) { l.edges = edges }
 
-// Deliver brings an input that must not be lost (RunEnded, CallerGone, records of
-// the log, messages of peers) and waits for room: a lost RunEnded would hold a
-// place at its target until the entry is replaced. The producer's own source
-// (a TCP connection) is held up meanwhile, which bounds what can pile up.
+// Deliver queues an input that must not be lost (RunEnded, CallerGone, records of the
+// log, messages of peers) and waits for capacity: a lost RunEnded would occupy a slot at
+// its target until the entry is replaced. Meanwhile the producer does not read from its
+// source (a TCP connection), which bounds the backlog.
 func (l *Loop[C]) Deliver(in entry.Input) { l.inputs.Push(in) }
 
-// Submit brings an input and never waits. False: the ring is full, and the
-// producer refuses (a request), drops (what is repeated anyway: RunProgress,
-// TargetState, InstanceList) or keeps the input and tries again.
+// Submit queues an input and never blocks. It returns false if the ring is full. The
+// producer then refuses the input (a request), drops it (if it is sent again anyway:
+// RunProgress, TargetState, InstanceList), or keeps it and tries again.
 func (l *Loop[C]) Submit(in entry.Input) bool { return l.inputs.TryPush(in) }
 
-// Waiting is the number of inputs in the ring.
+// Waiting returns the number of inputs in the ring.
 func (l *Loop[C]) Waiting() int { return l.inputs.Len() }
 
-// Drained is closed once the core has nothing in flight after a drain.
+// Drained returns a channel that is closed once the core has nothing in flight after a
+// drain.
 func (l *Loop[C]) Drained() <-chan struct{} { return l.drained }
 
-// Do runs a read on the loop's goroutine and returns after it. It must not keep
-// what it was given.
+// Do runs read on the loop's goroutine and returns after it has finished. read must not
+// retain the core.
 func (l *Loop[C]) Do(ctx context.Context, read func(C)) error {
 	done := make(chan struct{})
 	query := func(core C) {
@@ -164,14 +167,14 @@
 	}
 }
 
-// step gives the core one input and carries out what follows from it.
+// step passes one input to the core and carries out the resulting outputs.
 func (l *Loop[C]) step(in entry.Input) {
 	for _, out := range l.core.Step(l.clock(), in) {
 		l.carryOut(out)
 	}
-	for len(l.follow) > 0 {
-		next := l.follow
-		l.follow = nil
+	for len(l.followUps) > 0 {
+		next := l.followUps
+		l.followUps = nil
 		for _, in := range next {
 			l.step(in)
 		}
@@ -213,13 +216,13 @@
 
 func (l *Loop[C]) append(o entry.Append) {
 	if !l.edges.Platform.Append(o) {
-		l.follow = append(l.follow, entry.LogAppended{Tag: o.Tag, Failed: true})
+		l.followUps = append(l.followUps, entry.LogAppended{Tag: o.Tag, Failed: true})
 	}
 }
 
 func (l *Loop[C]) markDrained() {
-	if !l.isDrain {
-		l.isDrain = true
+	if !l.isDrained {
+		l.isDrained = true
 		close(l.drained)
 	}
 }
--- a/internal/duty/ring.go
+++ b/internal/duty/ring.go
@@ -1,27 +1,28 @@
-// Package duty runs the goroutines of an entry, joined by bounded rings.
+// Package duty runs the core loop of an entry and connects it to the entry's other
+// goroutines through a bounded ring.
 package duty
 
-// Ring is a bounded queue in order of arrival between duties. A part of it is
-// reserved for items that must not be lost: TryPush is turned down while Push
-// still finds room. Both kinds share one order, so that a CallerGone never
-// overtakes the Submit that it belongs to, which two lanes would allow.
+// Ring is a bounded FIFO queue between goroutines. A part of it is reserved for items
+// that must not be lost: TryPush fails while Push still finds capacity. Both kinds of
+// items share one queue, so that a CallerGone never overtakes the Submit that it belongs
+// to, which could happen with two queues.
 type Ring[T any] struct {
-	items   chan T
-	open    int
-	stopped <-chan struct{}
+	items      chan T
+	unreserved int
+	stopped    <-chan struct{}
 }
 
-// NewRing makes a ring of a size of which reserved places are kept for Push.
-// A stopped ring takes nothing more and never blocks.
+// NewRing returns a ring for size items, with reserved places that only Push may use.
+// A stopped ring accepts no more items and never blocks.
 func NewRing[T any](size, reserved int, stopped <-chan struct{}) *Ring[T] {
-	return &Ring[T]{items: make(chan T, size), open: size - reserved, stopped: stopped}
+	return &Ring[T]{items: make(chan T, size), unreserved: size - reserved, stopped: stopped}
 }
 
-// TryPush adds an item and never waits; false: the ring is full or stopped, and
-// the caller must refuse or drop the item. Producers that race may take a few
-// of the reserved places, one each at most.
+// TryPush adds an item and never blocks. It returns false if the ring is full or stopped;
+// the caller must then refuse or drop the item. Concurrent producers may use some of the
+// reserved places, at most one each.
 func (r *Ring[T]) TryPush(item T) bool {
-	if len(r.items) >= r.open {
+	if len(r.items) >= r.unreserved {
 		return false
 	}
 	select {
@@ -37,8 +38,8 @@
 	}
 }
 
-// Push adds an item that must not be lost and waits for room. False: the ring
-// is stopped. The consumer's own goroutine must never call it.
+// Push adds an item that must not be lost and waits for capacity. It returns false if the
+// ring is stopped. The consumer's goroutine must never call it.
 func (r *Ring[T]) Push(item T) bool {
 	select {
 	case <-r.stopped:
@@ -53,8 +54,8 @@
 	}
 }
 
-// Len is the number of items that wait.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Items is what the consumer receives from.
+// Items returns the channel from which the consumer receives.
 func (r *Ring[T]) Items() <-chan T { return r.items }
