--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,7 +1,6 @@
-// Package feed follows the records that govern an entry: the operators'
-// configuration, the targets and the other entries. A Follower keeps the newest
-// record of each key of one topic and hands on each change, in order, with what
-// it knows of the log's own availability.
+// Package feed follows the records that an entry works from: the operators'
+// configuration, the targets and the other entries. A Follower follows the records of
+// one topic and reports each change, in order, and the availability of the log.
 package feed
 
 import (
@@ -15,11 +14,11 @@
 const (
 	// Operators holds the configuration.
 	Operators Topic = iota
-	// Targets holds an entry for each registered target.
+	// Targets holds a record for each registered target.
 	Targets
-	// Entries holds what each entry says of itself.
+	// Entries holds a record with the status of each entry.
 	Entries
-	// Usage holds what organisations close to their quota have used.
+	// Usage holds the usage of organisations that are close to their quota.
 	Usage
 	// Copies holds a copy of the configuration in force, for entries that start while
 	// Operators cannot be read. SecondCopies and ThirdCopies hold the same, since topics
@@ -27,7 +26,7 @@
 	Copies
 	SecondCopies
 	ThirdCopies
-	// Rollouts holds how far each roll-out has come.
+	// Rollouts holds the progress of each roll-out.
 	Rollouts
 )
 
@@ -35,46 +34,46 @@
 	return [...]string{"operators", "targets", "entries", "usage", "copies", "second_copies", "third_copies", "rollouts"}[t]
 }
 
-// Position is a place in a topic: an offset within a generation of the log. A log that has
-// come back from an older copy is of a later generation. It gives offsets out again, so an
-// offset says nothing without its generation.
+// Position is an offset in a topic, within a generation of the log. A log that was restored
+// from an older copy has a later generation and assigns offsets again, so an offset is only
+// meaningful together with its generation.
 type Position struct {
 	Generation int64
 	Offset     int64
 }
 
-// ErrTruncated says that the records asked for are not retained, or that their position is
-// of another generation: the reader has to start again from a snapshot.
+// ErrTruncated is returned if the requested records are no longer retained, or if their
+// position is of another generation. The caller has to start again from a snapshot.
 var ErrTruncated = errors.New("records are no longer retained")
 
-// errOlder says that an answer is of an older generation than one seen before.
-var errOlder = errors.New("the log answers as it was before it was restored")
+// errOlder is the error of an answer that is of an older generation than an earlier one.
+var errOlder = errors.New("the log answered with the state before it was restored")
 
-// ErrConflict says that the topic has grown since the offset at which a record was to be
-// put: another entry was faster, and what it wrote has to be read first.
+// ErrConflict is returned if the topic has grown beyond the offset at which a record was to
+// be put: another entry has put a record, which has to be read first.
 var ErrConflict = errors.New("another record was put first")
 
-// Record is the newest value of a key; an empty value means that it was dropped.
+// Record is the newest value of a key. An empty value means that the key was dropped.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
-	// Corrupt: the log holds bytes for the key that are no value.
+	// Corrupt is set if the log holds bytes for the key that are not a valid value.
 	Corrupt bool
 }
 
-// Log is the service that keeps the records.
+// Log is the service that stores the records.
 type Log interface {
 	// Snapshot returns the newest record of each key, and the position from which to Read.
 	Snapshot(topic Topic) ([]Record, Position, error)
-	// Read returns the records from a position, and the position of the next ones. It
-	// waits up to wait for the first. ErrTruncated: take a Snapshot.
+	// Read returns the records from a position on, and the position after them. It waits
+	// up to wait for the first record. After ErrTruncated a Snapshot is required.
 	Read(topic Topic, from Position, wait time.Duration) ([]Record, Position, error)
-	// Put sets the values of keys; an empty one drops the key. After an error they may
-	// have been set all the same.
+	// Put sets the values of keys. An empty value drops the key. After an error the values
+	// may nevertheless have been set.
 	Put(topic Topic, records ...Record) error
 	// PutAt sets a key's value if the topic ends at a position; otherwise it returns
-	// ErrConflict. After any other error it may have been set all the same, also later, but
-	// never after another record.
+	// ErrConflict. After any other error the value may nevertheless have been set, or may
+	// be set later, but never after another record.
 	PutAt(topic Topic, end Position, record Record) error
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -9,101 +9,101 @@
 	"time"
 )
 
-// Config sets how a Follower reads.
+// Config configures a Follower.
 type Config struct {
 	Topic Topic
-	// Interval is the pause between two reads of the reader.
+	// Interval is the pause between two reads while this entry is the reader.
 	Interval time.Duration
 	// Wait is how long a read waits at the log for a first record.
 	Wait time.Duration
-	// Patience is how old an entry's knowledge may get before it reads for itself,
-	// although another entry is the reader.
+	// MaxAge is the age of the applied state at which an entry that is not the reader
+	// reads the log itself.
 	Patience time.Duration
-	// Settle is how long after an outage records that were dropped during it may
-	// come back.
+	// RenewalTime is how long after an outage records that were dropped during it may be
+	// put again.
 	Settle time.Duration
 }
 
 const (
-	// backoffFirst and backoffMax bound the pause after a failed call; the first is
-	// short, since a single lost answer is the most common failure.
-	// A reader that has read nothing yet keeps the first pause: it can serve nobody
-	// before it has.
+	// backoffFirst and backoffMax bound the pause after a failed call. The first pause is
+	// short, since a single lost answer is the most common failure. A reader without a
+	// first snapshot always uses backoffFirst: it cannot serve requests without one.
 	backoffFirst = 100 * time.Millisecond
 	backoffMax   = 800 * time.Millisecond
-	// backoffStart is the pause between tries for the first snapshot at entries that do
-	// not read for others: eighty entries that try ten times a second make more calls
-	// than the outage is worth.
+	// backoffStart is the pause between attempts to read the first snapshot at entries
+	// that are not the reader. With backoffFirst, eighty entries would make ten calls a
+	// second each, an excessive load on the log during an outage.
 	backoffStart = 400 * time.Millisecond
-	// backoffOther is the pause of entries that do not read for others: the reader
-	// tells them when the log is back.
+	// backoffOther is the pause of entries that are not the reader: the reader's updates
+	// show them when the log is available again.
 	backoffOther = 2500 * time.Millisecond
 )
 
-// lapseDelay is how long after an outage drops are taken for lapses of that outage.
-// They are in the log when it comes back; later ones are as real as any, and keeping
-// those would send requests to targets that have left.
-const lapseDelay = 300 * time.Millisecond
+// expiryWindow is how long after an outage dropped records are attributed to expiry during
+// that outage. Such drops are in the log when it is available again. Later drops are real:
+// if they were ignored, requests would go to targets that have departed.
+const expiryWindow = 300 * time.Millisecond
 
-// Update is a step of the followed records.
+// Update is a change of the followed records.
 type Update struct {
 	Topic Topic
-	// Reset: Records are all there are; otherwise they change those known.
+	// Reset is set if Records is a complete snapshot; otherwise Records are changes.
 	Reset   bool
 	Records []Record
-	// Restored: the log has come back from an older copy since the step before.
+	// Restored is set if the log was restored from an older copy since the previous update.
 	Restored bool
-	// From and To are the positions before and after.
+	// From and To are the positions before and after the update.
 	From, To Position
 	// AsOf is when the log was in this state.
 	AsOf time.Time
-	// UnsettledUntil is until when the records dropped by this step may come back;
-	// zero: they are gone.
+	// UnsettledUntil is the time until which the records dropped by this update may be put
+	// again. Zero means that the drops are final.
 	UnsettledUntil time.Time
-	// Replicated: another entry read it and told.
+	// Replicated is set if another entry read the update from the log and sent it.
 	Replicated bool
 }
 
-// Duties are what a Follower calls. All may be called from its goroutine or from
-// the one that calls Replicate, one at a time.
+// Callbacks are the functions that a Follower calls. They are called from its goroutine
+// or from the one that calls Replicate, one at a time.
 type Duties struct {
-	// Leads reports whether this entry is the reader.
+	// IsReader reports whether this entry is the reader.
 	Leads func() bool
-	// Apply takes a step.
+	// Apply applies an update.
 	Apply func(Update)
-	// Lost and Regained tell of the log's availability.
+	// Unavailable and Available report changes of the log's availability. Available gets
+	// the duration of the outage.
 	Lost     func(Topic, error)
 	Regained func(Topic, time.Duration)
 }
 
 // Follower follows one topic.
 type Follower struct {
-	config Config
-	log    Log
-	duties Duties
-	wake   chan struct{}
+	config    Config
+	log       Log
+	callbacks Duties
+	wake      chan struct{}
 
 	mutex sync.Mutex
-	// next is the position to read from; its offset is -1 where a snapshot is due.
+	// next is the position to read from. Its offset is -1 if a snapshot is required.
 	next Position
-	// started: a first step has been applied.
+	// started is set once a first update has been applied.
 	started bool
-	// asOf is set once a step is applied. It is read without the mutex, which is held while
-	// a step is applied: who writes a line about a request must not wait for that.
+	// asOf is set once an update has been applied. It is read without the mutex, which is
+	// held while an update is applied: a log line about a request must not wait for that.
 	asOf atomic.Pointer[time.Time]
-	// failing is when the first of the failed calls in a row was made.
-	failing  time.Time
-	failures int
-	// regained is when the last outage ended.
-	regained time.Time
+	// failingSince is the start of the first of the consecutive failed calls.
+	failingSince time.Time
+	failures     int
+	// recoveredAt is the time at which the last outage ended.
+	recoveredAt time.Time
 }
 
-// NewFollower makes a follower that knows nothing yet.
-func NewFollower(config Config, log Log, duties Duties) *Follower {
-	return &Follower{config: config, log: log, duties: duties, wake: make(chan struct{}, 1), next: Position{Offset: -1}}
+// NewFollower returns a follower without any records.
+func NewFollower(config Config, log Log, callbacks Duties) *Follower {
+	return &Follower{config: config, log: log, callbacks: callbacks, wake: make(chan struct{}, 1), next: Position{Offset: -1}}
 }
 
-// Run follows until the context ends.
+// Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if pause := f.pause(); pause > 0 {
@@ -118,16 +118,16 @@
 	}
 }
 
-// Refresh has the next read made at once, such as after a suspension or when a
-// peer has a later version.
+// Refresh causes an immediate read, for example after a suspension of the process or when
+// a peer has a later version.
 func (f *Follower) Refresh() {
 	f.mutex.Lock()
 	f.asOf.Store(nil)
 	f.mutex.Unlock()
-	f.nudge()
+	f.wakeUp()
 }
 
-func (f *Follower) nudge() {
+func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -147,11 +147,11 @@
 	}
 }
 
-// pause is how long this entry may rely on the reader.
+// pause returns how long this entry may still rely on the reader.
 func (f *Follower) pause() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.next.Offset < 0 || f.AsOf().IsZero() || f.duties.Leads() {
+	if f.next.Offset < 0 || f.AsOf().IsZero() || f.callbacks.Leads() {
 		return 0
 	}
 	return f.config.Patience - time.Since(f.AsOf())
@@ -162,23 +162,24 @@
 	defer f.mutex.Unlock()
 	pause := min(backoffMax, backoffFirst<<min(f.failures, 4))
 	switch {
-	case f.next.Offset < 0 && f.duties.Leads():
+	case f.next.Offset < 0 && f.callbacks.Leads():
 		pause = backoffFirst
 	case f.next.Offset < 0:
 		pause = backoffStart
 	}
-	if f.failures > 1 && f.next.Offset >= 0 && !f.duties.Leads() {
+	if f.failures > 1 && f.next.Offset >= 0 && !f.callbacks.Leads() {
 		pause = backoffOther
 	}
 	return pause*3/4 + rand.N(pause/2)
 }
 
-// step makes one call; false: it failed.
+// step makes one call and reports whether it succeeded.
 func (f *Follower) step() bool {
 	f.mutex.Lock()
 	from, wait := f.next, f.config.Wait
 	if f.failures > 0 {
-		// What is in the log when it comes back has to be told from what comes later.
+		// Records that are in the log when it is available again must be read separately
+		// from later ones.
 		wait = 0
 	}
 	f.mutex.Unlock()
@@ -217,8 +218,8 @@
 	return true
 }
 
-// advance applies what is new of records that end before offset to. Another
-// entry's news may have been applied since they were asked for.
+// advance applies those of the records, which end before offset to, that are new. Updates
+// of another entry may have been applied since the records were requested.
 func (f *Follower) advance(records []Record, to Position, asOf time.Time, replicated bool) {
 	if to.Generation != f.next.Generation || to.Offset < f.next.Offset {
 		return
@@ -234,8 +235,8 @@
 
 func (f *Follower) failed(began time.Time, err error) {
 	if f.failures == 0 {
-		f.failing = began
-		f.duties.Lost(f.config.Topic, err)
+		f.failingSince = began
+		f.callbacks.Lost(f.config.Topic, err)
 	}
 	f.failures++
 }
@@ -245,28 +246,28 @@
 		return
 	}
 	f.failures = 0
-	f.regained = time.Now()
-	f.duties.Regained(f.config.Topic, time.Since(f.failing))
+	f.recoveredAt = time.Now()
+	f.callbacks.Regained(f.config.Topic, time.Since(f.failingSince))
 }
 
-// apply hands a step on. The mutex is held, so that steps keep their order.
+// apply passes an update to Apply. The mutex is held, so that updates keep their order.
 func (f *Follower) apply(u Update) {
 	u.Topic = f.config.Topic
 	u.Restored = f.started && u.To.Generation > f.next.Generation
 	f.next, f.started = u.To, true
-	if time.Since(f.regained) < lapseDelay {
-		u.UnsettledUntil = f.regained.Add(f.config.Settle)
+	if time.Since(f.recoveredAt) < expiryWindow {
+		u.UnsettledUntil = f.recoveredAt.Add(f.config.Settle)
 	}
-	f.duties.Apply(u)
+	f.callbacks.Apply(u)
 	if u.AsOf.After(f.AsOf()) {
 		f.asOf.Store(&u.AsOf)
 	}
 }
 
-// Replicate takes what another entry has read. News that leaves a gap, or is of a later
-// generation, is not applied: this entry missed some, such as while it was cut off, and
-// reads for itself at once. What the other entry suffered says nothing of the log: only who
-// failed itself takes drops for lapses.
+// Replicate applies an update that another entry has read. An update that leaves a gap, or
+// is of a later generation, is not applied: this entry has missed updates, for example while
+// it was disconnected, and reads the log itself at once. An outage seen by the other entry
+// does not count: only an entry whose own calls have failed attributes drops to expiry.
 func (f *Follower) Replicate(from, to Position, records []Record, asOf time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -275,14 +276,14 @@
 	}
 	if to.Generation > f.next.Generation || from.Offset > f.next.Offset {
 		f.asOf.Store(nil)
-		f.nudge()
+		f.wakeUp()
 		return
 	}
-	f.reached()
+	f.endOutage()
 	f.advance(records, to, asOf, true)
 }
 
-// ReplicateSnapshot takes a whole snapshot that another entry has read.
+// ReplicateSnapshot applies a complete snapshot that another entry has read.
 func (f *Follower) ReplicateSnapshot(to Position, records []Record, asOf time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -290,20 +291,20 @@
 	if f.next.Offset < 0 || older {
 		return
 	}
-	f.reached()
+	f.endOutage()
 	f.apply(Update{Reset: true, Records: records, From: f.next, To: to, AsOf: asOf, Replicated: true})
 }
 
-// reached ends an outage of which another entry's news shows that it is over.
-func (f *Follower) reached() {
+// endOutage ends an outage that is over according to the update of another entry.
+func (f *Follower) endOutage() {
 	if f.failures > 0 {
 		f.succeeded()
-		f.nudge()
+		f.wakeUp()
 	}
 }
 
-// AsOf is when the log was last known to be in the state that has been applied; zero: it
-// is not known to be in any.
+// AsOf returns the last time at which the log was known to be in the applied state. Zero
+// means that there is no such time.
 func (f *Follower) AsOf() time.Time {
 	if asOf := f.asOf.Load(); asOf != nil {
 		return *asOf
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -13,16 +13,16 @@
 	"sycamoretrail/internal/feed"
 )
 
-var errAway = errors.New("the log is away")
+var errUnavailable = errors.New("the log is unavailable")
 
-// fakeLog keeps records in memory and fails to order.
+// fakeLog keeps records in memory and fails on demand.
 type fakeLog struct {
-	mutex   sync.Mutex
-	records []feed.Record
-	first   int64
-	away    bool
-	calls   int
-	// generation counts the copies that the log has come back from.
+	mutex       sync.Mutex
+	records     []feed.Record
+	first       int64
+	unavailable bool
+	calls       int
+	// generation counts how often the log was restored from a copy.
 	generation int64
 }
 
@@ -32,15 +32,15 @@
 	l.records = append(l.records, feed.Record{Key: key, Value: []byte(value), Offset: l.first + int64(len(l.records))})
 }
 
-func (l *fakeLog) set(away bool) {
+func (l *fakeLog) setUnavailable(unavailable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.away = away
+	l.unavailable = unavailable
 }
 
-// forget drops all records from the history; the newest of each key can still be
-// had by Snapshot.
-func (l *fakeLog) forget() {
+// truncate drops all records from the history, so that a Read from an earlier position
+// fails with ErrTruncated.
+func (l *fakeLog) truncate() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.first += int64(len(l.records))
@@ -57,18 +57,18 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.calls++
-	if l.away {
-		return nil, feed.Position{}, errAway
+	if l.unavailable {
+		return nil, feed.Position{}, errUnavailable
 	}
 	return append([]feed.Record(nil), l.records...), l.at(l.first + int64(len(l.records))), nil
 }
 
-// at is a position of the log as it is now. The mutex is held.
+// at returns a position in the current generation. The mutex is held.
 func (l *fakeLog) at(offset int64) feed.Position {
 	return feed.Position{Generation: l.generation, Offset: offset}
 }
 
-// restore has the log come back with its first records only.
+// restore simulates that the log was restored from a copy with its first records only.
 func (l *fakeLog) restore(kept int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -85,9 +85,9 @@
 		l.mutex.Lock()
 		end := l.first + int64(len(l.records))
 		switch {
-		case l.away:
+		case l.unavailable:
 			l.mutex.Unlock()
-			return nil, feed.Position{}, errAway
+			return nil, feed.Position{}, errUnavailable
 		case from.Offset < l.first || from.Generation != l.generation:
 			l.mutex.Unlock()
 			return nil, feed.Position{}, feed.ErrTruncated
@@ -105,19 +105,19 @@
 
 func (l *fakeLog) Put(feed.Topic, ...feed.Record) error { return nil }
 
-// at is a position in a log that has never been restored.
+// at returns a position in a log that has never been restored.
 func at(offset int64) feed.Position { return feed.Position{Offset: offset} }
 
-// followed is a follower with what it has applied.
-type followed struct {
+// recorder is a follower that records its updates.
+type recorder struct {
 	*feed.Follower
-	mutex   sync.Mutex
-	leads   bool
-	updates []feed.Update
-	lost    int
+	mutex    sync.Mutex
+	isReader bool
+	updates  []feed.Update
+	lost     int
 }
 
-func (f *followed) last(key string) (feed.Update, feed.Record) {
+func (f *recorder) last(key string) (feed.Update, feed.Record) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for i := len(f.updates) - 1; i >= 0; i-- {
@@ -133,10 +133,10 @@
 
 var config = feed.Config{Topic: feed.Targets, Interval: 50 * time.Millisecond, Wait: 800 * time.Millisecond, Patience: 1200 * time.Millisecond, Settle: 2300 * time.Millisecond}
 
-func follow(ctx context.Context, log feed.Log, leads bool) *followed {
-	f := &followed{leads: leads}
+func follow(ctx context.Context, log feed.Log, isReader bool) *recorder {
+	f := &recorder{isReader: isReader}
 	f.Follower = feed.NewFollower(config, log, feed.Duties{
-		Leads: func() bool { f.mutex.Lock(); defer f.mutex.Unlock(); return f.leads },
+		Leads: func() bool { f.mutex.Lock(); defer f.mutex.Unlock(); return f.isReader },
 		Apply: func(u feed.Update) { f.mutex.Lock(); defer f.mutex.Unlock(); f.updates = append(f.updates, u) },
 		Lost:  func(feed.Topic, error) { f.mutex.Lock(); defer f.mutex.Unlock(); f.lost++ },
 
@@ -146,13 +146,13 @@
 	return f
 }
 
-// run plays a scenario on a fake clock.
+// run runs a scenario on a fake clock.
 func run(t *testing.T, scenario func(g *WithT, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		scenario(NewWithT(t), ctx)
 		stop()
-		time.Sleep(2 * time.Second) // lets a read that waits at the log return
+		time.Sleep(2 * time.Second) // lets a waiting read return
 	})
 }
 
@@ -168,56 +168,57 @@
 	})
 }
 
-// All entries start while the store is away. If each tried as often as the reader,
-// eighty of them would make some eight hundred calls a second.
-func TestEntriesThatStartLeaveTheTriesToTheReader(t *testing.T) {
-	tries := func(leads bool) (count int) {
+// All entries start while the store is unavailable. If each tried as often as the reader,
+// eighty of them would make about eight hundred calls a second.
+func TestStartingEntriesRetryLessOftenThanReader(t *testing.T) {
+	attempts := func(isReader bool) (count int) {
 		run(t, func(_ *WithT, ctx context.Context) {
-			log := &fakeLog{away: true}
-			follow(ctx, log, leads)
+			log := &fakeLog{unavailable: true}
+			follow(ctx, log, isReader)
 			time.Sleep(2 * time.Second)
 			count = log.count()
 		})
 		return count
 	}
 	g := NewWithT(t)
-	g.Expect(tries(true)).To(BeNumerically(">=", 15))
-	g.Expect(tries(false)).To(BeNumerically("<=", 7))
+	g.Expect(attempts(true)).To(BeNumerically(">=", 15))
+	g.Expect(attempts(false)).To(BeNumerically("<=", 7))
 }
 
-// A target lapses while the store is away, because nobody can renew its entry. The
-// entries that find its end in the log when the store is back must keep it: it
-// lives, and its entry is back within two seconds.
-func TestLapseDuringOutageIsKept(t *testing.T) {
+// The record of a target expires while the store is unavailable, because it cannot be
+// renewed. Entries that read the drop when the store is available again must keep the
+// target: it is running, and its record is put again within two seconds.
+func TestExpiryDuringOutageIsProvisional(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		log.append("a", "1")
 		f := follow(ctx, log, true)
 		time.Sleep(time.Second)
-		log.set(true)
+		log.setUnavailable(true)
 		time.Sleep(4 * time.Second)
 		log.append("a", "")
-		log.set(false)
-		time.Sleep(1200 * time.Millisecond) // the longest pause between two tries is a second
+		log.setUnavailable(false)
+		time.Sleep(1200 * time.Millisecond) // the longest pause between two attempts is a second
 		update, record := f.last("a")
 		g.Expect(record.Value).To(BeEmpty())
 		g.Expect(time.Until(update.UnsettledUntil)).To(BeNumerically(">", time.Second))
 	})
 }
 
-// One entry is cut off from the store for seconds and comes back. Soon after, a
-// target ends its entry before it leaves. The drop is real: kept as a lapse, the
-// target would get requests for two seconds more, later than it may.
-func TestDropAfterOwnOutageIsReal(t *testing.T) {
+// An entry is disconnected from the store for seconds and reconnects. Soon after, a target
+// drops its record before it departs. This drop must be final: if it were attributed to
+// expiry, the target would receive requests for two more seconds, longer than allowed.
+func TestDropAfterOwnOutageIsFinal(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		log.append("a", "1")
 		f := follow(ctx, log, true)
 		time.Sleep(time.Second)
-		log.set(true)
+		log.setUnavailable(true)
 		time.Sleep(4 * time.Second)
-		log.set(false)
-		// The longest pause between two tries, and the time in which drops count as lapses.
+		log.setUnavailable(false)
+		// The longest pause between two attempts, and the time in which drops are attributed
+		// to expiry.
 		time.Sleep(1500 * time.Millisecond)
 		log.append("a", "")
 		time.Sleep(100 * time.Millisecond)
@@ -227,9 +228,9 @@
 	})
 }
 
-// The reader was cut off from the store; the others were not. What it tells after
-// its return must not make the others take a real drop for a lapse.
-func TestOutageOfReaderDoesNotUnsettleOthers(t *testing.T) {
+// The reader was disconnected from the store; the others were not. Its updates after it
+// has reconnected must not make the others attribute a real drop to expiry.
+func TestOutageOfReaderDoesNotAffectDropsAtOthers(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		log.append("a", "1")
@@ -242,9 +243,10 @@
 	})
 }
 
-// The reader dies without a word. The others notice that their knowledge ages and
-// read for themselves, well within the two seconds in which a change must count.
-func TestOthersReadForThemselvesWhenReaderDies(t *testing.T) {
+// The reader terminates without notice. The others must detect that their state gets old
+// and read the log themselves, well within the two seconds in which a change must take
+// effect.
+func TestOthersReadLogWhenReaderTerminates(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		f := follow(ctx, log, false)
@@ -258,12 +260,12 @@
 		time.Sleep(1300 * time.Millisecond)
 		_, record := f.last("a")
 		g.Expect(string(record.Value)).To(Equal("1"))
-		g.Expect(calls).To(Equal(1), "while the reader told news, only the snapshot was read")
+		g.Expect(calls).To(Equal(1), "while the reader sent updates, only the snapshot was read")
 	})
 }
 
-// The store drops its history while an entry follows it. The records asked for are
-// gone; the entry takes a snapshot and misses nothing.
+// The store drops its history while an entry follows it. The requested records are not
+// retained, so the entry must read a snapshot and miss nothing.
 func TestTruncatedHistoryLeadsToSnapshot(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
@@ -271,7 +273,7 @@
 		f := follow(ctx, log, true)
 		time.Sleep(100 * time.Millisecond)
 		log.append("b", "1")
-		log.forget()
+		log.truncate()
 		log.append("c", "1")
 		time.Sleep(2 * time.Second)
 		update, record := f.last("c")
@@ -280,8 +282,9 @@
 	})
 }
 
-// News that leaves a gap is not applied: what lies between would be missed for good.
-func TestNewsWithGapIsNotApplied(t *testing.T) {
+// An update that leaves a gap must not be applied: the records in the gap would never be
+// read.
+func TestUpdateWithGapIsNotApplied(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		f := follow(ctx, log, false)
@@ -292,10 +295,10 @@
 	})
 }
 
-// An entry was cut off and missed news. When the reader's next news comes, the gap
-// shows that the store can be reached; waiting for the next own try would leave the
-// entry seconds behind, and send requests to targets that have left.
-func TestGapInNewsIsReadAtOnce(t *testing.T) {
+// An entry was disconnected and missed updates. The gap before the reader's next update
+// shows this, and that the store is available. The entry must read at once: until its next
+// scheduled read it would be seconds behind and send requests to departed targets.
+func TestGapInUpdatesIsReadAtOnce(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		f := follow(ctx, log, false)
@@ -311,9 +314,9 @@
 	})
 }
 
-// The store drops its history while an entry is not the reader. The reader takes a
-// snapshot and tells it whole; the entry applies it without a call of its own.
-func TestToldSnapshotIsApplied(t *testing.T) {
+// The store drops its history while an entry is not the reader. The reader reads a
+// snapshot and sends all of it; the entry must apply it without a call of its own.
+func TestReplicatedSnapshotIsApplied(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		log.append("a", "1")
@@ -331,10 +334,10 @@
 	})
 }
 
-// A large snapshot is being applied when a request ends and its line is to say how old the
-// targets are. Its caller would wait for the snapshot, as would a change of another topic
-// that has to know how old this one is.
-func TestAgeIsToldWhileAStepIsApplied(t *testing.T) {
+// A large snapshot is being applied when a request ends, and its log line contains the age
+// of the list of targets. Reading that age must not wait for the snapshot: the caller would
+// be delayed, and so would an update of another topic that depends on the age of this one.
+func TestAgeIsReadableWhileUpdateIsApplied(t *testing.T) {
 	g := NewWithT(t)
 	log := &fakeLog{}
 	log.append("a", "1")
@@ -354,17 +357,17 @@
 	defer stop()
 	go f.Run(ctx)
 	<-applying
-	told := make(chan time.Time, 1)
-	go func() { told <- f.AsOf() }()
-	g.Eventually(told, 5*time.Second).Should(Receive(BeZero()), "the step is not applied yet")
+	ages := make(chan time.Time, 1)
+	go func() { ages <- f.AsOf() }()
+	g.Eventually(ages, 5*time.Second).Should(Receive(BeZero()), "the update is not applied yet")
 	close(goOn)
 	<-applied
 	g.Eventually(f.AsOf, 5*time.Second).ShouldNot(BeZero())
 }
 
-// Guards against a reader that goes on at its offset after the log has come back from an older
-// copy: what stands before that offset now would never be read.
-func TestRestoredLogIsReadAnew(t *testing.T) {
+// Guards against a reader that continues at its offset after the log was restored from an older
+// copy: the new records before that offset would never be read.
+func TestRestoredLogIsReadFromSnapshot(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
 		for _, key := range []string{"a", "b", "c"} {
@@ -372,13 +375,13 @@
 		}
 		f := follow(ctx, log, true)
 		time.Sleep(time.Second)
-		log.set(true)
+		log.setUnavailable(true)
 		log.restore(1)
 		log.append("d", "1")
 		log.append("e", "1")
 		log.append("f", "1")
 		time.Sleep(time.Second)
-		log.set(false)
+		log.setUnavailable(false)
 		time.Sleep(2 * time.Second)
 		update, record := f.last("d")
 		g.Expect(string(record.Value)).To(Equal("1"))
@@ -392,9 +395,9 @@
 	})
 }
 
-// Guards against news of a log as it was before it was restored, from an entry that has been
-// cut off since.
-func TestNewsOfAnOlderGenerationIsPassedOver(t *testing.T) {
+// Guards against updates with the state of the log before it was restored, sent by an entry that
+// has been disconnected since.
+func TestUpdateOfOlderGenerationIsIgnored(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{generation: 2}
 		log.append("a", "1")
@@ -412,8 +415,8 @@
 	})
 }
 
-// Guards against an entry that waits for news that it has missed: it was cut off when the log
-// was restored, and hears a later generation without the snapshot.
+// Guards against an entry that waits for updates that it has missed: it was disconnected when the
+// log was restored, and receives an update of a later generation without the snapshot.
 func TestLaterGenerationIsReadAtOnce(t *testing.T) {
 	run(t, func(g *WithT, ctx context.Context) {
 		log := &fakeLog{}
