--- a/internal/targets/conn.go
+++ b/internal/targets/conn.go
@@ -13,31 +13,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errNothingSent is wrapped by errors after which the target provably has no
-// byte of the request: it was not dispatched, and may be sent elsewhere.
+// errNothingSent is wrapped by errors after which the target has certainly received no
+// byte of the request: it was not dispatched, and may be sent to another target.
 var errNothingSent = errors.New("nothing was sent")
 
-// errStale says that the target had closed a kept connection.
+// errStale is returned if the target had closed a kept-alive connection.
 var errStale = fmt.Errorf("%w: the target closed the kept connection", errNothingSent)
 
-// errIdle says that a target sent nothing for too long in mid-answer.
+// errIdle is returned if a target sends no data for too long within an answer.
 var errIdle = errors.New("the target fell silent in mid-answer")
 
-// guardedConn is a connection to a target that knows when nothing of a request
-// has been sent. A kept-alive connection that the target has closed meanwhile
-// would take the request and fail: the caller would see a failure of unknown
-// extent, although a fresh connection had worked. So a connection is looked at
-// before the first byte of each request. Once a byte has left, no error of this
-// type wraps errNothingSent, so that no second dispatch can follow.
+// guardedConn is a connection to a target that detects whether any part of a request has
+// been sent. Writing to a kept-alive connection that the target has closed would succeed
+// and the request would fail: its outcome would be unknown to the caller, although a fresh
+// connection would have worked. So the connection is checked before the first byte of each
+// request. Once a byte has been sent, no error of this type wraps errNothingSent, so that
+// the request is not dispatched a second time.
 type guardedConn struct {
 	net.Conn
-	// writing: the first byte of the present request has been handed over.
+	// writing is set once the first byte of the current request has been written.
 	writing bool
-	// idle bounds the silence after the first byte of an answer; 0: no bound.
+	// idle bounds the time without data after the first byte of an answer; 0 means no
+	// bound.
 	idle time.Duration
-	// answering: a byte of the present answer has been read.
+	// answering is set once a byte of the current answer has been read.
 	answering bool
-	// deadline is the request's own read deadline in Unix ns; 0: none.
+	// deadline is the request's own read deadline in Unix nanoseconds; 0 means none.
 	deadline atomic.Int64
 }
 
@@ -48,7 +49,7 @@
 	if netconn.Stale(c.Conn) {
 		return 0, errStale
 	}
-	// The silence allowed in the last answer on this connection is over.
+	// Clears the idle deadline of the previous answer on this connection.
 	_ = c.SetReadDeadline(time.Time{})
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
@@ -60,21 +61,21 @@
 }
 
 func (c *guardedConn) Read(p []byte) (int, error) {
-	idleFirst := c.limitSilence()
+	idleEndsFirst := c.setIdleDeadline()
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.writing = false
 		c.answering = true
 	}
-	if idleFirst && errors.Is(err, os.ErrDeadlineExceeded) {
+	if idleEndsFirst && errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, errIdle
 	}
 	return n, err
 }
 
-// limitSilence sets the earlier of the request's deadline and the end of the
-// silence allowed; it reports whether the latter comes first.
-func (c *guardedConn) limitSilence() bool {
+// setIdleDeadline sets the read deadline to the request's deadline or to the end of the idle
+// time, whichever is earlier. It reports whether the idle time ends first.
+func (c *guardedConn) setIdleDeadline() bool {
 	if c.idle == 0 || !c.answering {
 		return false
 	}
@@ -97,9 +98,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// newClient forms the client of one target address. A fasthttp client sends an
-// idempotent request again by itself when the connection breaks; that would be
-// a second dispatch behind the core's back, so every kind of retry is off.
+// newClient returns the client of one target address. By default a fasthttp client sends
+// an idempotent request again when the connection breaks. That would be a second dispatch
+// without a decision of the core, so all retries are disabled.
 func newClient(address string, cfg Config, idle time.Duration) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -123,7 +124,7 @@
 
 const clientBufferBytes = 4 << 10
 
-// nothingSent reports whether the target provably has no byte of the request.
+// nothingSent reports whether the target has certainly received no byte of the request.
 func nothingSent(err error) bool {
 	return errors.Is(err, errNothingSent) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
--- a/internal/targets/control.go
+++ b/internal/targets/control.go
@@ -18,8 +18,8 @@
 	cancelPause    = 100 * time.Millisecond
 )
 
-// cancel stops the run at its engine. A plain service has no such call: what it
-// began goes on, and only the caller is released.
+// cancel stops the run at its engine. A plain service has no call for that: it continues
+// the request, and only the caller gets its final outcome.
 func (r *run) cancel() {
 	if !r.cancelled.CompareAndSwap(false, true) || r.kind == request.Service {
 		return
@@ -29,9 +29,9 @@
 	}
 }
 
-// cancelAtEngine calls the engine until it has the stream cancelled, a bounded
-// number of times. The call may overtake the dispatch, which is then on its way
-// and would run on unseen; so "not held" counts only once the answer has begun.
+// cancelAtEngine calls the engine until it has cancelled the stream, a bounded number of
+// times. The call may overtake the dispatch, which would then run without being cancelled.
+// So the status "not found" is accepted only if the answer to the dispatch has begun.
 func (r *run) cancelAtEngine() {
 	for attempt := 0; attempt < cancelAttempts; attempt++ {
 		if attempt > 0 {
@@ -50,7 +50,7 @@
 	r.end(message.ResultBroken, true)
 }
 
-// call makes one short call to an engine and returns its answer.
+// call makes one control call to a target and returns its answer.
 func (t *Targets) call(address, method, path string, body []byte) (status int, answer []byte, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -68,7 +68,7 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// orderBody is the engines' form of an order; the role is left as it is.
+// orderBody is the body of an order to an engine. It leaves the engine's role unchanged.
 type orderBody struct {
 	Fencing  int64    `json:"fencing"`
 	Model    string   `json:"model"`
@@ -76,7 +76,8 @@
 	Adapters []string `json:"adapters"`
 }
 
-// Order tells a target what to hold; an OrderDone follows.
+// Order sends a target the model, version and adapters that it has to hold. An OrderDone
+// reports the result.
 func (t *Targets) Order(o entry.Order) {
 	if t.control.Go(func() { t.outbox.put(t.order(o)) }) != nil {
 		t.outbox.put(entry.OrderDone{Target: o.Target, Failed: true})
--- a/internal/targets/outbox.go
+++ b/internal/targets/outbox.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// maxProgress bounds the waiting inputs beyond which progress is dropped;
-	// the inputs that must arrive are bounded by the runs themselves.
-	maxProgress = 1 << 14
-	// outboxPause is the wait before a full ring is tried again.
-	outboxPause = time.Millisecond
+	// maxPendingForProgress is the number of queued inputs beyond which progress reports are
+	// dropped. The other inputs, which must arrive, are bounded by the number of runs.
+	maxPendingForProgress = 1 << 14
+	// submitRetryInterval is the wait before an input is submitted again to a full ring.
+	submitRetryInterval = time.Millisecond
 )
 
-// outbox hands inputs to the core in the order in which they were put. Putting
-// never blocks, since the core's own loop puts some of them: were it to wait
-// for room in the ring that it empties itself, it would wait for ever.
+// outbox submits inputs to the core in the order in which they were put. put never
+// blocks, since the core's loop itself puts some of them: it would deadlock if it waited
+// for capacity in the ring that only it empties.
 type outbox struct {
-	core Core
-	mu   sync.Mutex
-	some *sync.Cond
-	in   []entry.Input
-	stop bool
-	done chan struct{}
+	core     Core
+	mu       sync.Mutex
+	nonEmpty *sync.Cond
+	pending  []entry.Input
+	stopped  bool
+	done     chan struct{}
 }
 
 func newOutbox(core Core) *outbox {
 	o := &outbox{core: core, done: make(chan struct{})}
-	o.some = sync.NewCond(&o.mu)
+	o.nonEmpty = sync.NewCond(&o.mu)
 	go o.deliver()
 	return o
 }
@@ -37,18 +37,18 @@
 func (o *outbox) put(in entry.Input) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, progress := in.(entry.RunProgress); progress && len(o.in) >= maxProgress {
+	if _, progress := in.(entry.RunProgress); progress && len(o.pending) >= maxPendingForProgress {
 		return
 	}
-	o.in = append(o.in, in)
-	o.some.Signal()
+	o.pending = append(o.pending, in)
+	o.nonEmpty.Signal()
 }
 
 func (o *outbox) deliver() {
 	defer close(o.done)
 	var batch []entry.Input
 	for {
-		batch = o.take(batch[:0])
+		batch = o.takeAll(batch[:0])
 		if batch == nil {
 			return
 		}
@@ -59,41 +59,42 @@
 	}
 }
 
-// take waits for inputs and swaps them out; nil once the outbox is closed and empty.
-func (o *outbox) take(empty []entry.Input) []entry.Input {
+// takeAll waits for inputs and returns all of them, using empty for the next ones. It returns
+// nil once the outbox is closed and empty.
+func (o *outbox) takeAll(empty []entry.Input) []entry.Input {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for len(o.in) == 0 && !o.stop {
-		o.some.Wait()
+	for len(o.pending) == 0 && !o.stopped {
+		o.nonEmpty.Wait()
 	}
-	if len(o.in) == 0 {
+	if len(o.pending) == 0 {
 		return nil
 	}
-	batch := o.in
-	o.in = empty
+	batch := o.pending
+	o.pending = empty
 	return batch
 }
 
-// submit hands one input over, waiting while the ring is full.
+// submit submits one input to the core, and retries while the ring is full.
 func (o *outbox) submit(in entry.Input) {
 	for !o.core.Submit(in) {
 		if o.closed() {
 			return
 		}
-		time.Sleep(outboxPause)
+		time.Sleep(submitRetryInterval)
 	}
 }
 
 func (o *outbox) closed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.stop
+	return o.stopped
 }
 
 func (o *outbox) close() {
 	o.mu.Lock()
-	o.stop = true
-	o.some.Signal()
+	o.stopped = true
+	o.nonEmpty.Signal()
 	o.mu.Unlock()
 	<-o.done
 }
--- a/internal/targets/probe.go
+++ b/internal/targets/probe.go
@@ -11,28 +11,29 @@
 	"sycamoretrail/internal/core/entry"
 )
 
-// probeSlots spreads the probes of many targets over the time between two.
-const probeSlots = 10
+// probeBatches is the number of batches over which the probes of all targets are spread
+// within ProbeEvery.
+const probeBatches = 10
 
-// leavingState is what a target that leaves answers to a readiness probe.
+// leavingState is the state with which a departing target answers a readiness probe.
 const leavingState = "leaving"
 
-// Watch probes the targets of the document in force until stop is closed. Only
-// those that wanted selects are probed; nil: all.
-func (t *Targets) Watch(stop <-chan struct{}, view func() *entry.View, wanted func(*document.Target) bool) {
-	ticker := time.NewTicker(t.cfg.ProbeEvery / probeSlots)
+// Watch probes the targets of the document in force until stop is closed. Only the
+// targets for which selected returns true are probed; nil selects all.
+func (t *Targets) Watch(stop <-chan struct{}, view func() *entry.View, selected func(*document.Target) bool) {
+	ticker := time.NewTicker(t.cfg.ProbeEvery / probeBatches)
 	defer ticker.Stop()
-	for slot := uint64(0); ; slot = (slot + 1) % probeSlots {
+	for batch := uint64(0); ; batch = (batch + 1) % probeBatches {
 		select {
 		case <-stop:
 			return
 		case <-ticker.C:
-			t.probeSlot(view().Document, slot, wanted)
+			t.probeBatch(view().Document, batch, selected)
 		}
 	}
 }
 
-func (t *Targets) probeSlot(doc *document.Document, slot uint64, wanted func(*document.Target) bool) {
+func (t *Targets) probeBatch(doc *document.Document, batch uint64, selected func(*document.Target) bool) {
 	if doc == nil {
 		return
 	}
@@ -42,22 +43,22 @@
 	}
 	for i := range doc.Targets {
 		target := &doc.Targets[i]
-		if xxhash.Sum64String(target.Name)%probeSlots != slot || wanted != nil && !wanted(target) {
+		if xxhash.Sum64String(target.Name)%probeBatches != batch || selected != nil && !selected(target) {
 			continue
 		}
 		t.Probe(target.Name, target.Address, engines[target.Class])
 	}
 }
 
-// Probe looks at one target; a TargetState follows. A probe that finds no
-// worker is left out, and so is one whose forerunner is still under way.
+// Probe probes one target and reports the result by a TargetState. It is skipped if no
+// worker is free, or if the previous probe of the target has not ended.
 func (t *Targets) Probe(name, address string, engine bool) {
 	if !t.beginProbe(name) {
 		return
 	}
 	err := t.probes.Go(func() {
 		defer t.endProbe(name)
-		t.outbox.put(t.look(name, address, engine))
+		t.outbox.put(t.requestState(name, address, engine))
 	})
 	if err != nil {
 		t.endProbe(name)
@@ -80,7 +81,7 @@
 	delete(t.probing, name)
 }
 
-// readyAnswer and loadAnswer are the targets' forms.
+// readyAnswer and loadAnswer are the bodies with which targets answer probes.
 type readyAnswer struct {
 	State string `json:"state"`
 }
@@ -94,27 +95,27 @@
 	Adapters []string `json:"adapters"`
 }
 
-// look asks a target for its readiness, and an engine for its load. An engine
-// whose load can't be read counts as reachable, with nothing known of its load.
-func (t *Targets) look(name, address string, engine bool) entry.TargetState {
-	found := entry.TargetState{Target: name}
+// requestState requests the readiness of a target, and the load of an engine. An engine whose load
+// can't be read counts as reachable, with unknown load.
+func (t *Targets) requestState(name, address string, engine bool) entry.TargetState {
+	state := entry.TargetState{Target: name}
 	status, body, err := t.call(address, fasthttp.MethodGet, "/ready", nil)
 	if err != nil {
-		return found
+		return state
 	}
 	var ready readyAnswer
 	_ = json.Unmarshal(body, &ready)
-	found.Leaving = ready.State == leavingState
-	found.Reachable = status == fasthttp.StatusOK || found.Leaving
-	if !engine || !found.Reachable {
-		return found
+	state.Leaving = ready.State == leavingState
+	state.Reachable = status == fasthttp.StatusOK || state.Leaving
+	if !engine || !state.Reachable {
+		return state
 	}
 	status, body, err = t.call(address, fasthttp.MethodGet, "/load", nil)
 	var load loadAnswer
 	if err != nil || status != fasthttp.StatusOK || json.Unmarshal(body, &load) != nil {
-		return found
+		return state
 	}
-	found.Running, found.Waiting, found.CachedTokens = load.Running, load.Waiting, load.KVTokens
-	found.Model, found.Version, found.Adapters = load.Model, load.Version, load.Adapters
-	return found
+	state.Running, state.Waiting, state.CachedTokens = load.Running, load.Waiting, load.KVTokens
+	state.Model, state.Version, state.Adapters = load.Model, load.Version, load.Adapters
+	return state
 }
--- a/internal/targets/run.go
+++ b/internal/targets/run.go
@@ -18,7 +18,7 @@
 	"sycamoretrail/internal/flight"
 )
 
-// Header fields of the targets' interface.
+// Header fields of the protocol with targets.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerNotAdmitted = "X-Not-Admitted"
@@ -26,13 +26,13 @@
 	eventStreamType   = "text/event-stream"
 )
 
-// Errors of following an answer.
+// Errors that end the reading of an answer.
 var (
 	errBroken  = errors.New("the answer broke off")
 	errNotHeld = errors.New("the target does not hold the stream")
 	errTooLong = errors.New("the answer is longer than an entry holds")
-	// errOver: the flight ended meanwhile, by cancellation or the core's word.
-	errOver = errors.New("the request has ended")
+	// errEnded means that the flight has been ended by a cancellation or by the core.
+	errEnded = errors.New("the request has ended")
 )
 
 // run is one request at one target.
@@ -43,25 +43,26 @@
 	address  string
 	kind     request.Kind
 	deadline time.Time
-	// notAfter voids a dispatch whose first byte has not left by then.
+	// notAfter is the time after which the dispatch must not send its first byte.
 	notAfter time.Time
 	began    time.Time
-	// attached: another entry dispatched it; here its stream is only read.
+	// attached is set if another entry dispatched the request and this entry only reads
+	// its stream.
 	attached bool
 	onEnd    func(message.Result)
 
-	// answered: the target's answer to the dispatch has begun.
+	// answered is set once the target's answer to the dispatch has begun.
 	answered  atomic.Bool
 	cancelled atomic.Bool
 	endOnce   sync.Once
 
-	// rejected is set when the engine answered with an error of the request's own.
+	// rejected is set if the engine answered with a client error (status 4xx).
 	rejected outcome.Reason
 
 	stream streamState
 }
 
-// dispatch is the whole life of a run that this entry dispatched.
+// dispatch performs a run that this entry dispatches.
 func (r *run) dispatch() {
 	defer r.t.forget(r)
 	if r.f.Answer.Ended() != nil {
@@ -70,7 +71,7 @@
 	}
 	result, wrote := r.execute()
 	if r.cancelled.Load() && result != message.ResultNotAdmitted && result != message.ResultLeaving {
-		// The cancellation ends the run, once the engine has been told.
+		// The cancellation ends the run once it has reached the engine.
 		if r.kind == request.Engine {
 			return
 		}
@@ -79,12 +80,12 @@
 	r.end(result, wrote)
 }
 
-// complete gives the caller the end of its answer.
+// complete ends the caller's answer.
 func (r *run) complete() {
 	r.f.Finish(outcome.Status{Outcome: outcome.Answered, Reason: r.rejected})
 }
 
-// end tells the core how the run ended, once.
+// end reports the result of the run to the core, once.
 func (r *run) end(result message.Result, wrote bool) {
 	r.endOnce.Do(func() {
 		r.t.outbox.put(entry.RunEnded{ID: r.f.ID, Result: result, Sample: r.stream.sample(r.f), Wrote: wrote})
@@ -99,16 +100,16 @@
 	r.prepare(req)
 	resp.StreamBody = true
 	err := r.send(req, resp)
-	// The grant's end bounds the dispatch only. A stream that runs is resumed long
-	// after it, and must not be told that nothing was sent.
+	// The end of the grant bounds only the dispatch. A running stream may be resumed long
+	// after it, and must then not fail as if nothing had been sent.
 	r.notAfter = time.Time{}
 	if err != nil {
-		return r.unanswered(err)
+		return r.recoverUnanswered(err)
 	}
 	r.answered.Store(true)
 	if refusal := resp.Header.Peek(headerNotAdmitted); resp.StatusCode() == fasthttp.StatusServiceUnavailable && len(refusal) > 0 {
 		_ = resp.CloseBodyStream()
-		// The target says that it took nothing of what was sent.
+		// The target reports that it has not admitted the request.
 		if string(refusal) == notAdmittedLeave {
 			return message.ResultLeaving, false
 		}
@@ -119,17 +120,17 @@
 		return message.ResultFailed, true
 	}
 	r.t.outbox.put(entry.RunStarted{ID: r.f.ID})
-	return r.finish(r.receive(resp)), true
+	return r.resultOf(r.receive(resp)), true
 }
 
-// send hands the request to a connection. It goes on to another connection only
-// while the last one provably took no byte.
+// send sends the request on a connection. It tries another connection only if no byte
+// has been sent on the last one.
 func (r *run) send(req *fasthttp.Request, resp *fasthttp.Response) error {
 	client := r.t.client(r.address, r.kind)
 	for attempt := 0; ; attempt++ {
 		if !r.notAfter.IsZero() && r.t.cfg.Now().After(r.notAfter) {
-			// This process stood still after the core's decision. The target may
-			// be leaving by now, or its place given to another.
+			// This process was suspended after the core's decision. By now the target
+			// may be departing, or its slot may have been granted to another request.
 			return fmt.Errorf("%w: the grant has lapsed", errNothingSent)
 		}
 		if !r.deadline.IsZero() {
@@ -140,44 +141,45 @@
 			req.SetTimeout(remaining)
 		}
 		err := client.Do(req, resp)
-		if err == nil || !nothingSent(err) || attempt >= staleAttempts || !errors.Is(err, errStale) {
+		if err == nil || !nothingSent(err) || attempt >= maxStaleRetries || !errors.Is(err, errStale) {
 			return err
 		}
 	}
 }
 
-// staleAttempts bounds how many kept connections that the target closed are
-// passed over for one request.
-const staleAttempts = 8
+// maxStaleRetries bounds the kept-alive connections that are skipped for one request because
+// the target has closed them.
+const maxStaleRetries = 8
 
-// unanswered tells how a request ended that got no answer at all.
-func (r *run) unanswered(err error) (message.Result, bool) {
+// recoverUnanswered returns the result of a request that got no answer from the dispatch.
+func (r *run) recoverUnanswered(err error) (message.Result, bool) {
 	if nothingSent(err) {
 		return message.ResultNotAdmitted, false
 	}
 	if r.kind == request.Service {
 		return message.ResultBroken, true
 	}
-	// The engine may have taken it. It is never sent again, but the stream can
-	// be asked for: if the engine holds it, the caller still gets its answer.
-	r.stream.forget()
-	return r.finish(r.resume(fmt.Errorf("%w: %w", errBroken, err))), true
+	// The engine may have received the request, so it is not sent again. But its stream
+	// can be requested: if the engine holds it, the caller still gets the answer.
+	r.stream.restart()
+	return r.resultOf(r.resume(fmt.Errorf("%w: %w", errBroken, err))), true
 }
 
-// finish turns the end of an answer into a result.
-func (r *run) finish(err error) message.Result {
+// resultOf returns the result for the error with which the reading of an answer ended, and
+// cancels the run if the answer is no longer needed.
+func (r *run) resultOf(err error) message.Result {
 	if err == nil {
 		return message.ResultComplete
 	}
-	late := !r.deadline.IsZero() && !r.t.cfg.Now().Before(r.deadline)
-	if late || errors.Is(err, errOver) {
+	pastDeadline := !r.deadline.IsZero() && !r.t.cfg.Now().Before(r.deadline)
+	if pastDeadline || errors.Is(err, errEnded) {
 		r.cancel()
 		return message.ResultCancelled
 	}
 	return message.ResultBroken
 }
 
-// prepare forms the request to the target.
+// prepare fills in the request to the target.
 func (r *run) prepare(req *fasthttp.Request) {
 	f := r.f
 	req.URI().DisablePathNormalizing = true
@@ -192,22 +194,22 @@
 	}
 }
 
-// receive follows an answer from its head to its end.
+// receive reads an answer from its head to its end.
 func (r *run) receive(resp *fasthttp.Response) error {
 	if r.kind == request.Engine && isEventStream(resp) {
 		r.f.Answer.Begin(flight.Head{Status: resp.StatusCode(), ContentType: eventStreamType, Events: true})
 		err := r.readEvents(resp)
-		if err == nil || errors.Is(err, errOver) {
+		if err == nil || errors.Is(err, errEnded) {
 			return err
 		}
 		return r.resume(err)
 	}
-	err := r.readWhole(resp)
+	err := r.readComplete(resp)
 	if err == nil || r.kind == request.Service || errors.Is(err, errTooLong) {
 		return err
 	}
-	// Nothing of the broken answer was passed on, so the stream of the same
-	// request can take its place.
+	// Nothing of the truncated answer was passed on, so it can be replaced by the stream
+	// of the same request.
 	return r.resume(err)
 }
 
@@ -216,26 +218,26 @@
 	return len(contentType) >= len(eventStreamType) && string(contentType[:len(eventStreamType)]) == eventStreamType
 }
 
-// readWhole reads an answer that is not a stream; it is passed on only whole.
-func (r *run) readWhole(resp *fasthttp.Response) error {
+// readComplete reads an answer that is not a stream. It is passed on only if it is complete.
+func (r *run) readComplete(resp *fasthttp.Response) error {
 	defer func() { _ = resp.CloseBodyStream() }()
 	body, err := readBody(resp, r.f.MaxAnswer)
 	if err != nil {
 		return err
 	}
-	r.f.Answer.Begin(wholeHead(resp))
+	r.f.Answer.Begin(headOf(resp))
 	if r.kind == request.Engine && resp.StatusCode() >= fasthttp.StatusBadRequest {
 		r.rejected = outcome.ReasonTargetRejected
 	}
 	if len(body) > 0 {
 		r.f.Answer.AppendOwned(body)
 	}
-	r.stream.noteWhole(body)
+	r.stream.noteUsageOf(body)
 	r.complete()
 	return nil
 }
 
-// readBody reads a body of up to limit bytes; 0: no limit.
+// readBody reads a body of up to limit bytes; 0 means no limit.
 func readBody(resp *fasthttp.Response, limit int) ([]byte, error) {
 	src := resp.BodyStream()
 	if src == nil {
@@ -254,15 +256,15 @@
 	return body, nil
 }
 
-// hopByHop are fields of an answer that belong to one connection, or that the
-// callers' edge sets itself.
+// hopByHop contains the fields of an answer that apply to one connection only, or that the
+// server for callers sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Content-Length": true, "Trailer": true,
 	"Upgrade": true, "Proxy-Connection": true, "Content-Type": true, headerRequestID: true,
 	"X-Outcome": true, "X-Reason": true, "X-Checksum": true, "X-Stream-Token": true,
 }
 
-func wholeHead(resp *fasthttp.Response) flight.Head {
+func headOf(resp *fasthttp.Response) flight.Head {
 	head := flight.Head{Status: resp.StatusCode(), ContentType: string(resp.Header.ContentType())}
 	for name, value := range resp.Header.All() {
 		if !hopByHop[string(name)] {
@@ -272,7 +274,7 @@
 	return head
 }
 
-// streamPath is the path of a stream at an engine.
+// streamPath returns the path of a stream at an engine.
 func streamPath(id string) string { return "/streams/" + id }
 
 func resumePath(id string, from int64) string {
--- a/internal/targets/sse.go
+++ b/internal/targets/sse.go
@@ -8,39 +8,39 @@
 	"strconv"
 )
 
-// errStream is wrapped by every error of the event reader but io.EOF.
+// errStream is wrapped by the errors for input that is not a valid event stream.
 var errStream = errors.New("malformed event stream")
 
 const (
 	startLineBytes = 4 << 10
 	// maxLineBytes bounds one line of an event stream.
 	maxLineBytes = 1 << 20
-	// maxEventID bounds token numbers, so that no arithmetic on them overflows.
+	// maxEventID bounds token numbers, so that arithmetic on them cannot overflow.
 	maxEventID = 1 << 40
 )
 
 // event is one server-sent event. Data is valid until the next call of next.
 type event struct {
-	// id is the token's number, -1 when the event carries none.
+	// id is the token's number, or -1 if the event has none.
 	id   int64
 	data []byte
 }
 
-// eventReader reads server-sent events as they come, with no allocation for an
-// event whose data is one line.
+// eventReader reads server-sent events as they arrive. It does not allocate for an event
+// whose data is one line.
 type eventReader struct {
 	src        io.Reader
 	buf        []byte
 	start, end int
-	joined     []byte // data of events of several lines
+	joined     []byte // data lines of the current event, joined
 }
 
 func newEventReader(src io.Reader) *eventReader {
 	return &eventReader{src: src, buf: make([]byte, startLineBytes)}
 }
 
-// next returns the next event that carries data; io.EOF at the stream's end.
-// An event that the end cuts off is dropped.
+// next returns the next event with data, or io.EOF at the end of the stream. An event
+// truncated by the end is dropped.
 func (r *eventReader) next() (event, error) {
 	ev := event{id: -1}
 	lines := 0
@@ -92,7 +92,7 @@
 	return fieldName(line[:colon]), value
 }
 
-// fieldName avoids a string for each line.
+// fieldName returns the field name without allocating a string for each line.
 func fieldName(b []byte) string {
 	switch string(b) {
 	case "data":
@@ -119,7 +119,7 @@
 	}
 }
 
-// fill reads more behind an incomplete line.
+// fill reads more data after an incomplete line.
 func (r *eventReader) fill() error {
 	if r.start > 0 {
 		copy(r.buf, r.buf[r.start:r.end])
--- a/internal/targets/stream.go
+++ b/internal/targets/stream.go
@@ -18,16 +18,16 @@
 )
 
 var (
-	doneMark  = []byte("[DONE]")
-	usageMark = []byte(`"usage":{`)
+	doneMarker  = []byte("[DONE]")
+	usageMarker = []byte(`"usage":{`)
 )
 
-// streamState is how far a run's stream has come.
+// streamState is the progress of a run's stream.
 type streamState struct {
-	// id is the request id under which the engine knows the stream.
+	// id is the request id under which the engine holds the stream.
 	id ident.RequestID
-	// nextID is the engine's number of the next token; unnumbered counts events
-	// without a number. Their sum is the number of the next chunk.
+	// nextID is the engine's number of the next token. unnumbered counts events without
+	// a number. Their sum is the index of the next chunk.
 	nextID     int64
 	unnumbered int
 	usage      *usage
@@ -37,7 +37,7 @@
 	progressAt  time.Duration
 }
 
-// usage is the engine's account at the end of an answer.
+// usage is the token usage that an engine reports at the end of an answer.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -46,10 +46,10 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// forget starts the count anew, for a stream that is read from its beginning.
-func (s *streamState) forget() { s.nextID, s.unnumbered = 0, 0 }
+// restart resets the position, so that the stream is read from its beginning.
+func (s *streamState) restart() { s.nextID, s.unnumbered = 0, 0 }
 
-// sample is what the run showed of its target's speed.
+// sample returns the speed of the target as measured on the run.
 func (s *streamState) sample(f *flight.Flight) message.Sample {
 	sample := message.Sample{PromptTokens: f.PromptTokens, FirstToken: s.first, Tokens: s.events}
 	if s.events > 1 {
@@ -65,8 +65,8 @@
 	return sample
 }
 
-// noteUsage reads the account that the last event, or a whole answer, carries.
-func (s *streamState) noteUsage(data []byte) {
+// parseUsage reads the token usage from the last event or from a complete answer.
+func (s *streamState) parseUsage(data []byte) {
 	var answer struct {
 		Usage *usage `json:"usage"`
 	}
@@ -75,14 +75,14 @@
 	}
 }
 
-func (s *streamState) noteWhole(body []byte) {
+func (s *streamState) noteUsageOf(body []byte) {
 	if bytes.Contains(body, []byte(`"usage"`)) {
-		s.noteUsage(body)
+		s.parseUsage(body)
 	}
 }
 
-// readEvents passes a stream's events on until its end mark. It returns nil
-// only after [DONE].
+// readEvents passes on a stream's events. It returns nil only after the end marker,
+// [DONE].
 func (r *run) readEvents(resp *fasthttp.Response) error {
 	defer func() { _ = resp.CloseBodyStream() }()
 	var src io.Reader = resp.BodyStream()
@@ -95,34 +95,33 @@
 		if err != nil {
 			return fmt.Errorf("%w: %w", errBroken, err)
 		}
-		if bytes.Equal(ev.data, doneMark) {
+		if bytes.Equal(ev.data, doneMarker) {
 			r.complete()
 			drain(src)
 			return nil
 		}
-		if err := r.take(ev); err != nil {
+		if err := r.passOn(ev); err != nil {
 			return err
 		}
 	}
 }
 
-// drain reads what follows an end mark, so that the connection can be used
-// again; the caller has its answer already.
+// drain reads the rest of a stream after its end marker, so that the connection can be
+// reused. The caller already has its answer.
 func drain(src io.Reader) {
 	_, _ = io.CopyN(io.Discard, src, maxDrain)
 }
 
-// maxDrain is the most that is read after an end mark before the connection is
-// given up.
+// maxDrain bounds the bytes that are read after an end marker to reuse the connection.
 const maxDrain = 4 << 10
 
-// take passes one event on, and drops it when it came before.
-func (r *run) take(ev event) error {
+// passOn passes on one event, or drops it if it has been passed on before.
+func (r *run) passOn(ev event) error {
 	s := &r.stream
-	last := bytes.Contains(ev.data, usageMark)
+	last := bytes.Contains(ev.data, usageMarker)
 	if ev.id < 0 {
-		// The account at the end has no number at some engines; after a
-		// resumption it would come twice.
+		// Some engines send the usage in an event without a number. After a
+		// resumption it would be passed on twice.
 		if last && s.usage != nil {
 			return nil
 		}
@@ -143,7 +142,7 @@
 		s.nextID++
 	}
 	if last {
-		s.noteUsage(ev.data)
+		s.parseUsage(ev.data)
 	}
 	r.noteToken()
 	return nil
@@ -151,12 +150,12 @@
 
 func (r *run) append(index int, data []byte) error {
 	if r.f.Answer.Append(index, data) == flight.Refused {
-		return errOver
+		return errEnded
 	}
 	return nil
 }
 
-// noteToken keeps the times of the run and tells the core now and then.
+// noteToken records the times of the run and reports progress to the core at intervals.
 func (r *run) noteToken() {
 	s := &r.stream
 	age := r.t.cfg.Now().Sub(r.began)
@@ -172,40 +171,41 @@
 	r.t.outbox.put(entry.RunProgress{ID: r.f.ID, Tokens: s.events})
 }
 
-// resume asks for a stream that broke off from its next token on, until its
-// end. It gives up when the target is gone, does not hold the stream, or brings
-// no new token several times in a row.
+// resume requests a truncated stream from its next token on, until the end of the stream.
+// It gives up if the target can't be reached, does not hold the stream, or sends no new
+// token several times in a row.
 func (r *run) resume(cause error) error {
-	for vain := 0; vain < r.t.cfg.ResumeAttempts; vain++ {
-		if r.over() {
-			return errOver
+	for withoutProgress := 0; withoutProgress < r.t.cfg.ResumeAttempts; withoutProgress++ {
+		if r.abandoned() {
+			return errEnded
 		}
-		if vain > 0 {
-			time.Sleep(time.Duration(vain) * r.t.cfg.ResumePause)
+		if withoutProgress > 0 {
+			time.Sleep(time.Duration(withoutProgress) * r.t.cfg.ResumePause)
 		}
 		before := r.stream.events
 		err := r.resumeOnce()
-		if err == nil || errors.Is(err, errOver) {
+		if err == nil || errors.Is(err, errEnded) {
 			return err
 		}
 		if nothingSent(err) && !errors.Is(err, errStale) {
 			return fmt.Errorf("%w, and the target can't be reached: %w", cause, err)
 		}
-		// A dispatch that was cut off early, or is on its way from another
-		// entry, may reach the engine a moment after this question.
+		// Without any token yet, a dispatch whose connection broke, or one from another
+		// entry, may reach the engine a moment after this request. So it is tried again.
 		if errors.Is(err, errNotHeld) && r.stream.events > 0 {
 			return fmt.Errorf("%w: %w", cause, err)
 		}
 		if r.stream.events > before {
-			vain = -1
+			withoutProgress = -1
 		}
 		cause = err
 	}
 	return cause
 }
 
-// over reports whether nobody needs the rest of the answer.
-func (r *run) over() bool {
+// abandoned reports whether the rest of the answer is no longer needed: the request has
+// been cancelled, has ended or is past its deadline.
+func (r *run) abandoned() bool {
 	if r.cancelled.Load() || r.f.Answer.Ended() != nil {
 		return true
 	}
@@ -234,8 +234,8 @@
 	return r.readEvents(resp)
 }
 
-// attach is the whole life of a run that another entry dispatched. The stream
-// is read from its beginning, so that count and checksum cover all of it.
+// attach follows a run that another entry dispatched. The stream is read from its
+// beginning, so that the chunk count and the checksum cover all of it.
 func (r *run) attach() {
 	err := r.resume(errBroken)
 	status, result := outcome.Complete(), message.ResultComplete
@@ -246,7 +246,7 @@
 	r.onEnd(result)
 }
 
-// lostStatus says what is known of a request whose stream can't be followed.
+// lostStatus returns the final outcome of a request whose stream can't be followed.
 func (r *run) lostStatus(err error) outcome.Status {
 	if r.stream.events > 0 {
 		return outcome.Partial(outcome.ReasonTargetFailed, "the target cut the answer")
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,6 +1,6 @@
-// Package targets speaks HTTP to model engines and plain services. It carries
-// out what the core decided - dispatch, cancel, attach, order - and tells the
-// core what it saw. It never decides to send a request a second time.
+// Package targets communicates with model engines and plain services over HTTP. It
+// carries out the core's decisions (dispatch, cancel, attach, order) and reports the
+// results to the core. It never sends a request a second time on its own.
 package targets
 
 import (
@@ -19,44 +19,44 @@
 	"sycamoretrail/internal/flight"
 )
 
-// Core takes the inputs of the entry's state machine.
+// Core accepts inputs of the entry's state machine.
 type Core interface {
-	// Submit hands an input over; false when the ring is full.
+	// Submit queues an input. It returns false if the ring is full.
 	Submit(entry.Input) bool
 }
 
-// Config is what the edge is started with. Zero fields get defaults.
+// Config configures Targets. Zero fields get defaults.
 type Config struct {
 	Core    Core
 	Flights *flight.Registry
 	Log     *logrus.Logger
 
-	// MaxRuns bounds requests running at targets, and with them goroutines.
+	// MaxRuns bounds the requests running at targets, and thereby the goroutines.
 	MaxRuns int
-	// ControlWorkers bounds cancellations and orders under way.
+	// ControlWorkers bounds concurrent cancellations and orders.
 	ControlWorkers int
-	// ProbeWorkers bounds probes under way.
+	// ProbeWorkers bounds concurrent probes.
 	ProbeWorkers int
 
 	DialTimeout time.Duration
 	// KeepAlive is how long an idle connection is kept.
 	KeepAlive time.Duration
-	// IdleTimeout bounds an engine's silence after its first token, before the
-	// stream is asked for again.
+	// IdleTimeout is the time without data from an engine, after its first token, after
+	// which the stream is resumed on another connection.
 	IdleTimeout time.Duration
 	// ControlTimeout bounds one call to cancel, order or probe.
 	ControlTimeout time.Duration
 	// ResumeAttempts bounds resumptions in a row that bring no new token.
 	ResumeAttempts int
-	// ResumePause is the wait before a resumption that follows a vain one.
+	// ResumePause is the wait before a resumption that follows one without a new token.
 	ResumePause time.Duration
-	// ProgressEvery is the least time between two RunProgress of one run.
+	// ProgressEvery is the minimum time between two RunProgress inputs of one run.
 	ProgressEvery time.Duration
-	// AttachTimeout bounds the following of another entry's stream.
+	// AttachTimeout bounds the time for which another entry's stream is followed.
 	AttachTimeout time.Duration
 	// ProbeEvery is the time between two probes of one target.
 	ProbeEvery time.Duration
-	// Now is the clock; time.Now when nil.
+	// Now is the clock. It defaults to time.Now.
 	Now func() time.Time
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// Targets is the edge. Its methods never block, so that the core's loop may
-// call them.
+// Targets runs requests at targets. Apart from Close its methods never block, so that the
+// core's loop may call them.
 type Targets struct {
 	cfg     Config
 	outbox  *outbox
@@ -107,7 +107,7 @@
 	kind    request.Kind
 }
 
-// New starts the edge; Close stops it.
+// New returns Targets with running workers. Close stops them.
 func New(cfg Config) *Targets {
 	cfg.setDefaults()
 	return &Targets{
@@ -122,12 +122,12 @@
 	}
 }
 
-// newPool forms a pool that refuses what is beyond its workers and queue.
+// newPool returns a pool that rejects tasks beyond its workers and queue.
 func newPool(workers, queue int) pond.Pool {
 	return pond.NewPool(workers, pond.WithQueueSize(queue), pond.WithNonBlocking(true))
 }
 
-// Close stops probes and control calls and waits for the runs under way.
+// Close stops all workers and waits until the current runs and calls have ended.
 func (t *Targets) Close() {
 	t.probes.StopAndWait()
 	t.runs.StopAndWait()
@@ -135,13 +135,13 @@
 	t.outbox.close()
 }
 
-// client finds or forms the client of a target.
+// client returns the client of a target, and creates it if necessary.
 func (t *Targets) client(address string, kind request.Kind) *fasthttp.HostClient {
 	key := clientKey{address: address, kind: kind}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	client, there := t.clients[key]
-	if !there {
+	client, found := t.clients[key]
+	if !found {
 		idle := t.cfg.IdleTimeout
 		if kind == request.Service {
 			idle = 0
@@ -152,12 +152,12 @@
 	return client
 }
 
-// Dispatch sends a request to a target and follows its answer. Whatever
-// happens, exactly one RunEnded follows.
+// Dispatch sends a request to a target and follows its answer. In every case it results
+// in exactly one RunEnded.
 func (t *Targets) Dispatch(d entry.Dispatch) {
 	f := t.cfg.Flights.Get(d.ID)
 	if f == nil || f.Answer.Ended() != nil {
-		t.notSent(d.ID)
+		t.reportNotSent(d.ID)
 		return
 	}
 	f.SetTarget(flight.Target{Name: d.Target, Address: d.Address, Stream: d.ID})
@@ -166,12 +166,12 @@
 		deadline: d.Deadline, notAfter: d.NotAfter, kind: d.Kind,
 	}
 	if !t.start(r, r.dispatch) {
-		t.notSent(d.ID)
+		t.reportNotSent(d.ID)
 	}
 }
 
-// Attach follows a stream that another entry dispatched. Its end closes the
-// answer here, and a RunEnded tells the core that nothing is left to follow.
+// Attach follows the stream of a request that another entry dispatched. The end of the
+// stream ends the answer at this entry and is reported to the core by a RunEnded.
 func (t *Targets) Attach(a entry.Attach) {
 	if f := t.cfg.Flights.Get(a.ID); f != nil {
 		at := flight.Target{Name: a.Target, Address: a.Address, Stream: a.Of}
@@ -181,8 +181,8 @@
 	}
 }
 
-// Follow reads the stream of a flight at its target from the first token on.
-// It reports whether it began; a stream that is followed already counts.
+// Follow reads the stream of a flight at its target from the first token on. It returns
+// true if it has started, or if the stream is already being followed.
 func (t *Targets) Follow(f *flight.Flight, at flight.Target, ended func(message.Result)) bool {
 	if !f.Follow() {
 		return true
@@ -222,8 +222,8 @@
 	}
 }
 
-// notSent tells the core that a dispatch ended before anything was sent.
-func (t *Targets) notSent(id ident.RequestID) {
+// reportNotSent reports to the core that a dispatch ended before anything was sent.
+func (t *Targets) reportNotSent(id ident.RequestID) {
 	t.outbox.put(entry.RunEnded{ID: id, Result: message.ResultNotAdmitted})
 }
 
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -30,8 +30,8 @@
 	RunSpecs(t, "targets")
 }
 
-// FuzzEventReader reads any bytes, whole and byte by byte: no panic, the same
-// events both ways, and bounded numbers.
+// FuzzEventReader reads arbitrary bytes at once and byte by byte. It checks that there is no
+// panic, that both ways give the same events, and that token numbers are bounded.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 0\ndata: a\n\ndata: b\ndata: c\n\n")
 	f.Add(": note\r\nid: 7\r\ndata:x\r\n\r\ndata: [DONE]\n\n")
@@ -62,7 +62,7 @@
 	}
 }
 
-// fakeCore notes inputs; it can be full.
+// fakeCore records inputs. It can be set to be full.
 type fakeCore struct {
 	mu     sync.Mutex
 	inputs []entry.Input
@@ -85,7 +85,7 @@
 	c.full = full
 }
 
-func (c *fakeCore) seen() []entry.Input {
+func (c *fakeCore) received() []entry.Input {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]entry.Input(nil), c.inputs...)
@@ -98,13 +98,13 @@
 	start := func(cfg Config) {
 		core = &fakeCore{}
 		flights = flight.NewRegistry(flight.Config{MaxOpen: 16, Retain: time.Minute, RetainBytes: 1 << 20})
-		cfg.Core, cfg.Flights, cfg.Log = core, flights, quiet()
+		cfg.Core, cfg.Flights, cfg.Log = core, flights, discardLogger()
 		t = New(cfg)
 	}
 	serve := func(handler fasthttp.RequestHandler) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		srv := &fasthttp.Server{Handler: handler, Logger: quiet()}
+		srv := &fasthttp.Server{Handler: handler, Logger: discardLogger()}
 		go func() { _ = srv.Serve(ln) }()
 		DeferCleanup(func() { _ = srv.Shutdown() })
 		return ln.Addr().String()
@@ -118,9 +118,9 @@
 	}
 	event := func(i string) string { return "id: " + i + "\ndata: x\n\n" }
 
-	// The core is told in order: started, progress, ended. The ring is full for a
-	// while; what must arrive waits for it and is not lost.
-	It("tells the core in order, also after its ring was full", func() {
+	// The core must get the start, the progress and the end in this order. The ring is
+	// full for a while; inputs that must arrive wait for it and are not lost.
+	It("delivers inputs to the core in order, also after its ring was full", func() {
 		start(Config{})
 		address := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
@@ -130,10 +130,10 @@
 		f := add("a", request.Engine)
 		dispatch("a", address, time.Minute)
 		Eventually(f.Answer.Ended).ShouldNot(BeNil())
-		Expect(core.seen()).To(BeEmpty())
+		Expect(core.received()).To(BeEmpty())
 		core.setFull(false)
-		Eventually(core.seen).Should(HaveLen(3))
-		in := core.seen()
+		Eventually(core.received).Should(HaveLen(3))
+		in := core.received()
 		Expect(in[0]).To(Equal(entry.RunStarted{ID: "a"}))
 		Expect(in[1]).To(Equal(entry.RunProgress{ID: "a", Tokens: 1}))
 		ended := in[2].(entry.RunEnded)
@@ -141,7 +141,7 @@
 		Expect(ended.Sample.Tokens).To(Equal(2))
 	})
 
-	It("says not admitted when no run can be taken on, and for an unknown flight", func() {
+	It("reports not admitted if all workers are busy, and for an unknown flight", func() {
 		start(Config{MaxRuns: 1})
 		release := make(chan struct{})
 		began := make(chan struct{}, 2)
@@ -155,15 +155,15 @@
 		Eventually(began).Should(Receive())
 		dispatch("b", address, time.Minute)
 		dispatch("zz", address, time.Minute)
-		Eventually(core.seen).Should(ContainElements(
+		Eventually(core.received).Should(ContainElements(
 			entry.RunEnded{ID: "b", Result: message.ResultNotAdmitted},
 			entry.RunEnded{ID: "zz", Result: message.ResultNotAdmitted}))
 		Expect(began).To(BeEmpty())
 		close(release)
 	})
 
-	// The core hears "cancelled", and the engine gets DELETE. The engine sends
-	// one token and then nothing; the deadline passes meanwhile.
+	// The engine sends one token and then nothing until the deadline passes. The engine
+	// must get a DELETE, and the core the result "cancelled".
 	It("cancels at the engine when the deadline passes", func() {
 		start(Config{ResumeAttempts: 1})
 		deleted := make(chan struct{})
@@ -182,13 +182,13 @@
 		add("a", request.Engine)
 		dispatch("a", address, 50*time.Millisecond)
 		Eventually(deleted).Should(BeClosed())
-		Eventually(core.seen).Should(ContainElement(HaveField("Result", message.ResultCancelled)))
+		Eventually(core.received).Should(ContainElement(HaveField("Result", message.ResultCancelled)))
 	})
 
-	// The grant ends while the stream runs, as it does for every long answer and
-	// after a pause of this process. The connection breaks then; the engine goes on
-	// and is asked for the rest, and the caller's run ends whole.
-	It("resumes a stream whose grant has lapsed since the dispatch", func() {
+	// The grant expires while the stream runs, as for every long answer and after a
+	// suspension of this process. Then the connection breaks while the engine continues.
+	// The rest must be requested from the engine, and the run must end complete.
+	It("resumes a stream whose grant has expired since the dispatch", func() {
 		start(Config{ResumePause: time.Millisecond})
 		notAfter := time.Now().Add(200 * time.Millisecond)
 		address := serve(func(ctx *fasthttp.RequestCtx) {
@@ -207,7 +207,7 @@
 		t.Dispatch(entry.Dispatch{ID: "a", Target: "e1", Address: address, Deadline: time.Now().Add(time.Minute), NotAfter: notAfter})
 		var ended entry.RunEnded
 		Eventually(func() bool {
-			for _, in := range core.seen() {
+			for _, in := range core.received() {
 				if e, is := in.(entry.RunEnded); is {
 					ended = e
 					return true
@@ -218,9 +218,9 @@
 		Expect(ended.Result).To(Equal(message.ResultComplete))
 	})
 
-	// The caller gets the whole answer. The engine's connection falls silent
-	// after a token, without an end; the rest is read over another connection.
-	It("resumes a stream that fell silent", func() {
+	// The engine's connection sends nothing after a token, and is not closed. The rest
+	// must be read over another connection, so that the caller gets the complete answer.
+	It("resumes a stream on an idle connection", func() {
 		start(Config{IdleTimeout: 20 * time.Millisecond})
 		release := make(chan struct{})
 		address := serve(func(ctx *fasthttp.RequestCtx) {
@@ -243,10 +243,10 @@
 		Expect(f.Answer.Ended().Chunks).To(Equal(2))
 	})
 
-	// The engine never runs the request unseen. The cancellation overtakes the
-	// dispatch: the engine does not hold the stream yet, so the first "not held"
-	// must not count, and the call is made again.
-	It("cancels again when the cancellation came before the request", func() {
+	// The cancellation overtakes the dispatch: the engine does not hold the stream yet. Its
+	// first "not found" must be ignored and the call repeated, or the engine would run a
+	// request that counts as cancelled.
+	It("cancels again if the cancellation arrives before the request", func() {
 		start(Config{})
 		began, held := make(chan struct{}), make(chan struct{})
 		hold := sync.OnceFunc(func() { close(held) })
@@ -275,10 +275,10 @@
 		t.Cancel(entry.CancelRun{ID: "a", Status: outcome.Partial(outcome.ReasonPreempted, "")})
 		Expect(f.Answer.Ended().Status.Reason).To(Equal(outcome.ReasonPreempted))
 		Eventually(held).Should(BeClosed())
-		Eventually(core.seen).Should(ContainElement(HaveField("Result", message.ResultCancelled)))
+		Eventually(core.received).Should(ContainElement(HaveField("Result", message.ResultCancelled)))
 	})
 
-	It("follows a stream that another entry dispatched, for a whole answer too", func() {
+	It("follows a stream that another entry dispatched, up to a complete answer", func() {
 		start(Config{})
 		address := serve(func(ctx *fasthttp.RequestCtx) {
 			Expect(string(ctx.RequestURI())).To(Equal("/streams/a?from=0"))
@@ -299,11 +299,11 @@
 			ctx.SetStatusCode(status)
 		})
 		t.Order(entry.Order{Target: "e1", Address: address, Fencing: 7, Model: "m", Version: "v"})
-		Eventually(core.seen).Should(ConsistOf(want))
+		Eventually(core.received).Should(ConsistOf(want))
 		Expect(body).To(MatchJSON(`{"fencing":7,"model":"m","version":"v","adapters":null}`))
 	},
 		Entry("taken", 200, entry.OrderDone{Target: "e1"}),
-		Entry("fenced off", 409, entry.OrderDone{Target: "e1", Refused: true}),
+		Entry("refused by fencing", 409, entry.OrderDone{Target: "e1", Refused: true}),
 		Entry("failed", 500, entry.OrderDone{Target: "e1", Failed: true}),
 	)
 
@@ -321,10 +321,10 @@
 			Classes: []document.Class{{Name: "c", Kind: document.KindEngine}},
 			Targets: []document.Target{{Name: "e1", Class: "c", Address: address}},
 		}
-		for slot := range uint64(probeSlots) {
-			t.probeSlot(doc, slot, nil)
+		for batch := range uint64(probeBatches) {
+			t.probeBatch(doc, batch, nil)
 		}
-		Eventually(core.seen).Should(ConsistOf(want))
+		Eventually(core.received).Should(ConsistOf(want))
 	},
 		Entry("ready", 200, "ready", entry.TargetState{Target: "e1", Reachable: true, Running: 3, Waiting: 1, CachedTokens: 9, Model: "m", Version: "v"}),
 		Entry("leaving", 503, "leaving", entry.TargetState{Target: "e1", Reachable: true, Leaving: true, Running: 3, Waiting: 1, CachedTokens: 9, Model: "m", Version: "v"}),
@@ -332,7 +332,7 @@
 	)
 })
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
