--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// inlineBody is the longest body that is written before the answer is read. A
-	// longer one may fill the connection's windows while the target answers without
-	// having read it, so it is written beside.
-	inlineBody = 32 << 10
-	// maxForeign is the number of answers to other requests that are passed over on
-	// one connection before it is given up.
-	maxForeign = 2
-	// writeTimeout bounds the writing of an inline request.
+	// maxInlineBody is the size up to which a body is written before the answer is read. A
+	// larger body may fill the socket buffers while the target answers without reading
+	// it, so it is written in the background.
+	maxInlineBody = 32 << 10
+	// maxMismatches is the number of answers to other requests that are skipped on one
+	// connection before it is closed.
+	maxMismatches = 2
+	// writeTimeout bounds the writing of a request with an inline body.
 	writeTimeout = 2 * time.Second
 )
 
-// Answer is the head of a target's answer; its body is read with Read.
+// Answer is the head of a target's answer. Its body is read with Read.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the declared length of the body, -1 where there is none.
+	// Length is the declared length of the body, or -1 if none is declared.
 	Length int64
 
 	conn     *Conn
@@ -38,23 +38,23 @@
 // Exchange is one request to a target.
 type Exchange struct {
 	Method string
-	// Head is the request line and the headers with the empty line, Body what follows.
+	// Head is the request line and the headers, including the empty line. Body follows it.
 	Head, Body []byte
-	// Deadline is when the answer has to be whole.
+	// Deadline is the time by which the answer has to be complete.
 	Deadline time.Time
 	// Matches reports whether an answer's head belongs to the request.
 	Matches func(http.Header) bool
 }
 
-// Send writes the request and reads the head of its answer. Errors wrap ErrNotSent
-// or ErrBroken, and the connection is closed.
+// Send writes the request and reads the head of its answer. If it fails, it closes the
+// connection, and the error wraps ErrNotSent or ErrBroken.
 func (p *Pool) Send(conn *Conn, x *Exchange) (*Answer, error) {
 	if err := conn.write(x); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	_ = conn.SetReadDeadline(x.Deadline)
-	for range maxForeign + 1 {
+	for range maxMismatches + 1 {
 		response, err := readHead(conn.reader, x.Method)
 		if err != nil {
 			_ = conn.Close()
@@ -66,16 +66,17 @@
 				conn: conn, pool: p, body: response.Body, keep: p.keepAlive(response),
 			}, nil
 		}
-		// A second answer to an earlier request, come late: the next one may be ours.
+		// This may be a late second answer to an earlier request, followed by the answer
+		// to this one.
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
 			break
 		}
 	}
 	_ = conn.Close()
-	return nil, ErrForeign
+	return nil, ErrMismatch
 }
 
-// readHead reads the head of a final answer.
+// readHead reads the head of the final answer and skips informational ones (status 1xx).
 func readHead(reader *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(reader, &http.Request{Method: method})
@@ -89,17 +90,17 @@
 }
 
 func (c *Conn) write(x *Exchange) error {
-	c.writing, c.failed = nil, nil
-	if len(x.Body) > inlineBody {
-		return c.writeBeside(x)
+	c.writing, c.writeErr = nil, nil
+	if len(x.Body) > maxInlineBody {
+		return c.writeInBackground(x)
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := c.Conn.Write(append(x.Head, x.Body...))
 	return writeError(n, err)
 }
 
-// writeBeside writes the head, and the body in a goroutine of its own.
-func (c *Conn) writeBeside(x *Exchange) error {
+// writeInBackground writes the head, and starts a goroutine that writes the body.
+func (c *Conn) writeInBackground(x *Exchange) error {
 	_ = c.SetWriteDeadline(x.Deadline)
 	if n, err := c.Conn.Write(x.Head); err != nil {
 		return writeError(n, err)
@@ -107,19 +108,19 @@
 	c.writing = make(chan struct{})
 	go func() {
 		defer close(c.writing)
-		_, c.failed = c.Conn.Write(x.Body)
+		_, c.writeErr = c.Conn.Write(x.Body)
 	}()
 	return nil
 }
 
-// written reports whether the whole request has been written.
+// written reports whether the complete request has been written.
 func (c *Conn) written() bool {
 	if c.writing == nil {
 		return true
 	}
 	select {
 	case <-c.writing:
-		return c.failed == nil
+		return c.writeErr == nil
 	default:
 		return false
 	}
@@ -136,7 +137,7 @@
 	}
 }
 
-// Read reads the body. io.EOF says that it is whole, as far as its framing tells.
+// Read reads the body. io.EOF means that the body is complete according to its framing.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	switch {
@@ -150,9 +151,9 @@
 	}
 }
 
-// Close keeps the connection where the answer was read to its end and nothing
-// follows it; otherwise it closes the connection, by which a target that is still
-// at work is told to stop.
+// Close returns the connection to the pool if the answer was read to its end and nothing
+// follows it. Otherwise it closes the connection, which signals a target that is still
+// processing the request to stop.
 func (a *Answer) Close() {
 	if a.conn == nil {
 		return
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,6 @@
-// Package upstream sends single requests to targets over kept connections. It
-// tells apart what the caller of a failed request has to know: whether anything
-// of it was sent, whether the target may have run it, and whether the answer is
-// whole and belongs to it.
+// Package upstream sends single requests to targets over kept-alive connections. Its
+// errors distinguish whether any part of a failed request was sent, whether the target
+// may have run it, and whether the answer is complete and belongs to the request.
 package upstream
 
 import (
@@ -19,23 +18,24 @@
 )
 
 var (
-	// ErrNotSent is wrapped by errors after which the target has no byte of the request.
+	// ErrNotSent is wrapped by errors after which the target has received no byte of the
+	// request.
 	ErrNotSent = errors.New("nothing was sent")
 	// ErrBroken is wrapped by errors after which the target may have run the request.
 	ErrBroken = errors.New("the connection to the target broke")
-	// ErrForeign: what came back is no answer, or belongs to other requests.
-	ErrForeign = fmt.Errorf("%w: what came is not the answer", ErrBroken)
+	// ErrMismatch is returned if the target sent only answers that belong to other requests.
+	ErrMismatch = fmt.Errorf("%w: received no answer that belongs to the request", ErrBroken)
 )
 
-// Options bounds connections.
+// Options configures a Pool.
 type Options struct {
 	Dial netconn.Options
-	// KeepIdle is how long an idle connection is kept where the target says nothing.
+	// KeepIdle is how long an idle connection is kept if the target announces no timeout.
 	KeepIdle time.Duration
-	// IdleMargin is taken off the time that a target says it keeps idle connections:
-	// a request that crosses the target's close would be lost.
+	// IdleMargin is subtracted from the keep-alive timeout that a target announces: a
+	// request sent while the target closes the connection would be lost.
 	IdleMargin time.Duration
-	// MaxIdle bounds the idle connections to one address.
+	// MaxIdle bounds the number of idle connections to one address.
 	MaxIdle int
 }
 
@@ -49,26 +49,27 @@
 	opened int64
 }
 
-// Conn is a connection to a target with one request at a time.
+// Conn is a connection to a target that carries one request at a time.
 type Conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// keep is how long the target keeps the connection when idle.
+	// keep is how long the connection may be idle.
 	keep      time.Duration
 	idleSince time.Time
-	// writing is closed when the request's body has been written; nil: it has been.
-	writing chan struct{}
-	failed  error
+	// writing is closed when the request's body has been written. It is nil unless the
+	// body is written in the background.
+	writing  chan struct{}
+	writeErr error
 }
 
-// NewPool makes a pool without connections.
+// NewPool returns a pool without connections.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options, dialer: options.Dial.Dialer(), idle: make(map[string][]*Conn)}
 }
 
 // Get returns an idle connection that has been used within maxAge, or a new one.
-// The errors wrap ErrNotSent.
+// Its errors wrap ErrNotSent.
 func (p *Pool) Get(address string, maxAge time.Duration) (*Conn, error) {
 	for {
 		conn := p.take(address)
@@ -91,10 +92,12 @@
 	return &Conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer), keep: p.options.KeepIdle}, nil
 }
 
-// readBuffer holds the head of an answer or a few events.
+// readBuffer is the size of a connection's read buffer. It holds the head of an answer or
+// a few events.
 const readBuffer = 4 << 10
 
-// take returns the connection that was used last, so that the others age out.
+// take removes and returns the most recently used idle connection, so that the others
+// expire.
 func (p *Pool) take(address string) *Conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -107,7 +110,7 @@
 	return conn
 }
 
-// put keeps a connection on which the last answer ended cleanly.
+// put adds an idle connection, on which the last answer has ended cleanly.
 func (p *Pool) put(conn *Conn) {
 	conn.idleSince = time.Now()
 	_ = conn.SetDeadline(time.Time{})
@@ -121,8 +124,8 @@
 	p.idle[conn.address] = append(conns, conn)
 }
 
-// Retain closes the idle connections to addresses that are not in use any more,
-// and those that have been idle for too long.
+// Retain closes idle connections to addresses that are no longer in use, and those that
+// have been idle for too long.
 func (p *Pool) Retain(used func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -153,14 +156,15 @@
 	delete(p.idle, address)
 }
 
-// Opened is the number of connections made so far.
+// Opened returns the number of connections opened so far.
 func (p *Pool) Opened() int64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.opened
 }
 
-// keepAlive reads how long the target keeps the connection; 0: it closes it.
+// keepAlive returns how long the connection may be idle after an answer; 0 means that the
+// target closes it.
 func (p *Pool) keepAlive(response *http.Response) time.Duration {
 	if response.Close {
 		return 0
