--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -1,4 +1,4 @@
-// Package ingress accepts callers' connections and tells when a caller leaves
+// Package ingress accepts callers' connections and detects when a caller disconnects
 // while its request is still running.
 package ingress
 
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// writeTimeout bounds one write to a caller that does not read; what has not been
-// read holds memory here and a place at a target.
+// writeTimeout bounds one write to a caller that does not read. Unread data occupies
+// memory at this entry and a slot at a target.
 const writeTimeout = 5 * time.Second
 
 // Listener wraps the connections that it accepts in Conn.
@@ -26,22 +26,23 @@
 	return &Conn{Conn: conn}, nil
 }
 
-// Conn is a caller's connection. While a request runs nobody reads from it, so a
-// caller's leaving would go unnoticed and its request would hold a place at a
-// target for nothing; Watch reads in the meantime.
+// Conn is a caller's connection. The server does not read from it while a request runs, so
+// a disconnect would go unnoticed and the request would occupy a slot at a target in vain.
+// Watch reads during that time.
 type Conn struct {
 	net.Conn
 	mutex sync.Mutex
-	// early is what the watcher read: the beginning of the caller's next request.
-	early []byte
-	// ended is what the watcher's read ended with.
-	ended   error
+	// buffered holds the data that the watcher read: the beginning of the caller's next
+	// request.
+	buffered []byte
+	// readErr is the error that readErr the watcher's read.
+	readErr error
 	watcher chan struct{}
 }
 
-// Watch calls gone once, from another goroutine, if the caller closes or resets
-// the connection before Unwatch.
-func (c *Conn) Watch(gone func()) {
+// Watch calls disconnected once, from another goroutine, if the caller closes or resets
+// the connection before Unwatch is called.
+func (c *Conn) Watch(disconnected func()) {
 	done := make(chan struct{})
 	c.watcher = done
 	go func() {
@@ -50,7 +51,7 @@
 		n, err := c.Conn.Read(one[:])
 		if n > 0 {
 			c.mutex.Lock()
-			c.early = append(c.early, one[:n]...)
+			c.buffered = append(c.buffered, one[:n]...)
 			c.mutex.Unlock()
 			return
 		}
@@ -58,44 +59,44 @@
 			return
 		}
 		c.mutex.Lock()
-		c.ended = err
+		c.readErr = err
 		c.mutex.Unlock()
-		gone()
+		disconnected()
 	}()
 }
 
-// longAgo is a read deadline that has passed, which ends the watcher's read.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past, which ends the watcher's read.
+var pastDeadline = time.Unix(1, 0)
 
-// Unwatch ends Watch; afterwards the connection may be read again.
+// Unwatch ends Watch. Afterwards the connection may be read again.
 func (c *Conn) Unwatch() {
 	if c.watcher == nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(longAgo)
+	_ = c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watcher
 	c.watcher = nil
 	_ = c.Conn.SetReadDeadline(time.Time{})
 }
 
-// Read returns what the watcher read first.
+// Read returns the data that the watcher has read before any other data.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mutex.Lock()
-	if len(c.early) > 0 {
-		n := copy(p, c.early)
-		c.early = c.early[n:]
+	if len(c.buffered) > 0 {
+		n := copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
 		c.mutex.Unlock()
 		return n, nil
 	}
-	ended := c.ended
+	readErr := c.readErr
 	c.mutex.Unlock()
-	if ended != nil {
-		return 0, ended
+	if readErr != nil {
+		return 0, readErr
 	}
 	return c.Conn.Read(p)
 }
 
-// Write gives up on a caller that reads nothing for too long.
+// Write fails if the caller does not read for writeTimeout.
 func (c *Conn) Write(p []byte) (int, error) {
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return c.Conn.Write(p)
