--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -83,7 +83,7 @@
 	// The pool of appends is full, so nothing was sent. The core must get a definite
 	// failure for this tag. Otherwise it would treat the outcome of the append as unknown
 	// and wait for a record that will never be written.
-	It("reports an append that was not accepted to the core", func() {
+	It("reports to the core that an append was not accepted", func() {
 		core := &scripted{react: func(in entry.Input) []entry.Output {
 			if _, submit := in.(entry.Submit); submit {
 				return []entry.Output{entry.Append{Tag: 9}}
