--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -220,7 +220,7 @@
 
 	// The engine's connection sends nothing after a token, and is not closed. The rest
 	// must be read over another connection, so that the caller gets the complete answer.
-	It("resumes a stream on an idle connection", func() {
+	It("resumes a stream whose connection stops sending", func() {
 		start(Config{IdleTimeout: 20 * time.Millisecond})
 		release := make(chan struct{})
 		address := serve(func(ctx *fasthttp.RequestCtx) {
@@ -278,7 +278,7 @@
 		Eventually(core.received).Should(ContainElement(HaveField("Result", message.ResultCancelled)))
 	})
 
-	It("follows a stream that another entry dispatched, up to a complete answer", func() {
+	It("follows the stream of a request that another entry dispatched, up to its end", func() {
 		start(Config{})
 		address := serve(func(ctx *fasthttp.RequestCtx) {
 			Expect(string(ctx.RequestURI())).To(Equal("/streams/a?from=0"))
