--- a/internal/peers/dial.go
+++ b/internal/peers/dial.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// maintain maintains a link to the process at the address, and detects that this process
-// has terminated.
+// maintain keeps a link to the process at the address, and detects when this process has
+// terminated.
 func (l *Links) maintain(a *address) {
 	for l.ctx.Err() == nil {
 		if k := l.linkedAt(a); k != nil {
