--- a/internal/callers/admit.go
+++ b/internal/callers/admit.go
@@ -21,14 +21,14 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// refusalError is a refusal that the edge decided; the core got nothing.
+// refusalError is a refusal by the edge; nothing was submitted to the core.
 type refusalError struct{ status outcome.Status }
 
 func (e *refusalError) Error() string {
 	return fmt.Sprintf("refused (%s): %s", e.status.Reason, e.status.Detail)
 }
 
-// statusOf is the status that an error of a check gives its caller.
+// statusOf returns the status that the caller receives for an error of a check.
 func statusOf(err error) outcome.Status {
 	var r *refusalError
 	if errors.As(err, &r) {
@@ -41,30 +41,30 @@
 	return &refusalError{outcome.Refused(reason, 0, fmt.Sprintf(format, args...))}
 }
 
-// notReadyRetry is the advice of an entry that can take no request for a moment.
+// notReadyRetry is the retry delay sent by an entry that temporarily accepts no requests.
 const notReadyRetry = time.Second
 
-// refusedUnasked refuses a request for this entry's own state, before the core
-// was asked about its id.
+// refusedBeforeSubmit refuses a request because of this entry's own state, before
+// the core has looked up its id.
 //
-// Failure: a caller lost an answer and sends the request again, to an entry that
-// starts or is full. The request may be running at its owner, or at a third
-// entry to which the id was given up, even an id of this entry's own prefix.
-// Symptom of "not run" here: the caller sends it under a new id, and it runs
-// twice. So "not run" is said only where there was no earlier sending to ask
-// for: of a request that came with neither an id nor a key of its own.
-func refusedUnasked(ctx *fasthttp.RequestCtx, reason outcome.Reason, detail string) error {
+// A caller that lost an answer may resend the request to an entry that is
+// starting or full, while the request runs at its owner or at an entry to which
+// the id was handed over; this holds even for an id with this entry's prefix.
+// After "not run" the caller would send it under a new id, and it would run
+// twice. The outcome is therefore "not run" only for a request that carries
+// neither an id nor an idempotency key, which cannot have been sent before.
+func refusedBeforeSubmit(ctx *fasthttp.RequestCtx, reason outcome.Reason, detail string) error {
 	status := outcome.Refused(reason, notReadyRetry, detail)
-	if sentBefore(&ctx.Request.Header) {
+	if maybeResent(&ctx.Request.Header) {
 		status.Outcome = outcome.Unknown
 	}
 	return &refusalError{status}
 }
 
-// sentBefore reports whether a request may have been sent before, as far as its
-// header tells. A key counts although it may not bind the request: without a
-// document the edge can't tell.
-func sentBefore(header *fasthttp.RequestHeader) bool {
+// maybeResent reports whether a request may have been sent before, judging by its
+// header. An idempotency key counts even if it has no effect on the request:
+// without a document the edge cannot decide that.
+func maybeResent(header *fasthttp.RequestHeader) bool {
 	return len(header.Peek(headerRequestID)) > 0 || len(header.Peek(headerKey)) > 0
 }
 
@@ -78,12 +78,12 @@
 	id   ident.RequestID
 }
 
-// identify checks what all calls share: a document in force, header size, and
-// the organisation.
+// identify makes the checks that all calls share: a document in force, the
+// header size, and the organisation.
 func (s *Server) identify(ctx *fasthttp.RequestCtx) (*call, error) {
 	view := s.cfg.View()
 	if view.Document == nil || view.State == message.Starting || view.State == message.Stopped {
-		return nil, refusedUnasked(ctx, outcome.ReasonNotReady, "this entry is "+view.State.String())
+		return nil, refusedBeforeSubmit(ctx, outcome.ReasonNotReady, "this entry is "+view.State.String())
 	}
 	if size := len(ctx.Request.Header.RawHeaders()); size > view.Document.Limits.HeaderBytes {
 		return nil, refused(outcome.ReasonTooLarge, "the header has %d bytes; limits.header_bytes is %d", size, view.Document.Limits.HeaderBytes)
@@ -99,8 +99,8 @@
 	return c, nil
 }
 
-// describe forms the part of a request that its header determines; model is the
-// name of a model or a service.
+// describe returns a request with the fields that its header determines; model is
+// the name of a model or a service.
 func (c *call) describe(now time.Time, model string) (request.Request, error) {
 	req := request.Request{Organisation: c.org.name, Model: model, Idempotent: true, Arrived: now}
 	var err error
@@ -120,7 +120,7 @@
 
 const suffixBytes = 12
 
-// requestID takes the caller's id, or forms one that this entry owns.
+// requestID returns the caller's id, or a new one that this entry owns.
 func (c *call) requestID() (ident.RequestID, error) {
 	given := c.ctx.Request.Header.Peek(headerRequestID)
 	if len(given) > 0 {
@@ -131,7 +131,7 @@
 		return id, nil
 	}
 	if c.view.Prefix == "" {
-		return "", refusedUnasked(c.ctx, outcome.ReasonNotReady, "this entry hands out no request ids now")
+		return "", refusedBeforeSubmit(c.ctx, outcome.ReasonNotReady, "this entry hands out no request ids now")
 	}
 	var random [suffixBytes]byte
 	_, _ = rand.Read(random[:])
@@ -147,13 +147,13 @@
 	if !allowed {
 		return 0, refused(outcome.ReasonTierNotAllowed, "the organisation may not use the tier %q", name)
 	}
-	// Set only now: the name goes into the metrics, which would otherwise grow by
-	// a series for each text that a caller makes up.
+	// The name becomes a metric label. Setting it only after the check keeps a
+	// caller from creating a series for each name that it invents.
 	c.tier = name
 	return rank, nil
 }
 
-// setTimes sets the deadlines from the header, else from the tier.
+// setTimes sets the deadlines from the header, or by default from the tier.
 func (c *call) setTimes(req *request.Request) error {
 	tier := &c.view.Document.Tiers[req.Tier]
 	longest := c.view.Document.Limits.DeadlineMS
@@ -199,8 +199,8 @@
 	return request.KeyHash(hex.EncodeToString(digest.Sum(nil)))
 }
 
-// idempotentMark reads X-Idempotent; otherwise holds when it is absent.
-func (c *call) idempotentMark(otherwise bool) (bool, error) {
+// idempotentHeader parses X-Idempotent; it returns otherwise if the field is absent.
+func (c *call) idempotentHeader(otherwise bool) (bool, error) {
 	switch string(c.ctx.Request.Header.Peek(headerIdempotent)) {
 	case "":
 		return otherwise, nil
@@ -212,8 +212,8 @@
 	return false, refused(outcome.ReasonMalformed, "X-Idempotent is neither true nor false")
 }
 
-// fingerprint hashes what a request asks for, its body in one or more parts, none
-// of which is copied.
+// fingerprint hashes the organisation, the model and the parts of the body, without
+// copying any of them.
 func fingerprint(organisation, model string, body ...[]byte) request.Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -19,31 +19,31 @@
 
 // run submits a checked request and answers its caller.
 func (s *Server) run(c *call, req request.Request, f *flight.Flight) {
-	standing, added := s.cfg.Flights.Put(f)
-	if standing == nil {
-		s.refuseError(c.ctx, c, refusedUnasked(c.ctx, outcome.ReasonEntryFull, "this entry holds as many requests as it can"))
+	existing, added := s.cfg.Flights.Put(f)
+	if existing == nil {
+		s.refuseError(c.ctx, c, refusedBeforeSubmit(c.ctx, outcome.ReasonEntryFull, "this entry holds as many requests as it can"))
 		return
 	}
-	if !added && (standing.Organisation != f.Organisation || standing.Fingerprint != f.Fingerprint) {
+	if !added && (existing.Organisation != f.Organisation || existing.Fingerprint != f.Fingerprint) {
 		s.refuseError(c.ctx, c, refused(outcome.ReasonMalformed, "X-Request-Id names another request"))
 		return
 	}
 	s.cfg.Arrived(&req, c.tier, f.Method, f.Path)
-	f = standing
-	s.answering.begin(c.ctx.Conn())
+	f = existing
+	s.pending.begin(c.ctx.Conn())
 	f.Enter()
 	f.Submitting()
 	if !s.cfg.Core.Submit(entry.Submit{Request: req}) && f.SubmitFailed() {
 		s.cfg.Flights.Remove(f)
-		f.Finish(statusOf(refusedUnasked(c.ctx, outcome.ReasonEntryFull, "this entry takes no more requests for a moment")))
+		f.Finish(statusOf(refusedBeforeSubmit(c.ctx, outcome.ReasonEntryFull, "this entry takes no more requests for a moment")))
 	}
-	w := &waiting{s: s, ctx: c.ctx, f: f, stream: f.Stream, tier: c.tier, model: req.Model,
+	w := &waiter{s: s, ctx: c.ctx, f: f, stream: f.Stream, tier: c.tier, model: req.Model,
 		began: req.Arrived, until: req.Deadline.Add(s.cfg.Grace)}
 	w.answer()
 }
 
-// waiting is one caller that waits for an answer.
-type waiting struct {
+// waiter is one caller that waits for an answer.
+type waiter struct {
 	s      *Server
 	ctx    *fasthttp.RequestCtx
 	f      *flight.Flight
@@ -51,20 +51,20 @@
 	tier   string
 	model  string
 	began  time.Time
-	// until bounds the wait for a core that gives no final word.
+	// until bounds the wait for a core that reports no final outcome.
 	until time.Time
 
 	// from is the number of the next chunk for this caller.
 	from      int
 	firstByte time.Duration
 	left      bool
-	// reread: attached by token, not by a request of its own; remote: to a
-	// stream that is read from its target for such callers only.
+	// reread reports that the caller attached by token, not by a request of its
+	// own; remote, that the stream is read from its target for such callers only.
 	reread, remote bool
 }
 
-// answer waits for the beginning of the answer and chooses its form.
-func (w *waiting) answer() {
+// answer waits for the beginning of the answer and chooses the response form.
+func (w *waiter) answer() {
 	chunks, p, gone := w.wait(nil)
 	if gone {
 		w.abandon()
@@ -82,28 +82,28 @@
 	case p.Head != nil && p.Head.Events && w.stream:
 		w.answerStream(chunks)
 	default:
-		w.answerWhole(chunks, p)
+		w.answerComplete(chunks, p)
 	}
 }
 
-// abandon ends the wait of a caller that closed its connection. What became of
-// the request it will not hear, so it counts as unknown.
-func (w *waiting) abandon() {
+// abandon ends the wait of a caller that closed its connection. The caller does
+// not receive the outcome of the request, so it is observed as unknown.
+func (w *waiter) abandon() {
 	w.leave()
 	w.observe(outcome.Undetermined(outcome.ReasonCallerGone, ""))
 }
 
 // refuse ends the wait with a refusal.
-func (w *waiting) refuse(status outcome.Status) {
+func (w *waiter) refuse(status outcome.Status) {
 	w.leave()
 	w.observe(status)
 	w.s.refuse(w.ctx, statusCode(status), string(w.f.ID), status)
 }
 
-// wait reads the next chunks, looking at the caller's connection meanwhile.
-func (w *waiting) wait(dst [][]byte) (chunks [][]byte, p flight.Progress, gone bool) {
+// wait reads the next chunks; while it waits, it polls the caller's connection.
+func (w *waiter) wait(dst [][]byte) (chunks [][]byte, p flight.Progress, gone bool) {
 	for {
-		chunks, p = w.f.Answer.Read(dst, w.from, w.s.cfg.LookEvery)
+		chunks, p = w.f.Answer.Read(dst, w.from, w.s.cfg.PollInterval)
 		if len(chunks) > len(dst) || p.End != nil || p.Trimmed {
 			if w.firstByte == 0 && len(chunks) > 0 {
 				w.firstByte = w.s.cfg.Now().Sub(w.began)
@@ -111,7 +111,7 @@
 			w.from = p.Next
 			return chunks, p, false
 		}
-		if hungUp(w.ctx.Conn()) {
+		if callerClosed(w.ctx.Conn()) {
 			return dst, p, true
 		}
 		if w.s.cfg.Now().After(w.until) {
@@ -121,10 +121,10 @@
 	}
 }
 
-// hungUp reports whether the caller closed its connection. A write would tell
-// too, but while a request waits there is nothing to write; and a read would end at
-// the read deadline that the server has set.
-func hungUp(conn net.Conn) bool {
+// callerClosed reports whether the caller closed its connection. A write would
+// detect that too, but while a request waits there is nothing to write; and a read
+// would end at the read deadline that the server has set.
+func callerClosed(conn net.Conn) bool {
 	if wrapped, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		conn = wrapped.NetConn()
 	}
@@ -132,13 +132,14 @@
 }
 
 const (
-	// goneAttempts bounds the attempts to tell the core that a caller left.
-	goneAttempts = 100
-	gonePause    = 20 * time.Millisecond
+	// callerGoneAttempts bounds the attempts to submit CallerGone to the core.
+	callerGoneAttempts   = 100
+	callerGoneRetryPause = 20 * time.Millisecond
 )
 
-// leave counts the caller out; the core learns when nobody is left.
-func (w *waiting) leave() {
+// leave removes the caller from the flight's readers; when it was the last one, the
+// core receives CallerGone.
+func (w *waiter) leave() {
 	if w.left {
 		return
 	}
@@ -152,15 +153,15 @@
 	if w.reread {
 		return
 	}
-	for range goneAttempts {
+	for range callerGoneAttempts {
 		if w.s.cfg.Core.Submit(entry.CallerGone{ID: w.f.ID}) {
 			return
 		}
-		time.Sleep(gonePause)
+		time.Sleep(callerGoneRetryPause)
 	}
 }
 
-func (w *waiting) observe(status outcome.Status) {
+func (w *waiter) observe(status outcome.Status) {
 	if w.reread {
 		return
 	}
@@ -170,8 +171,9 @@
 	})
 }
 
-// setToken gives the caller the means to read the stream at any entry.
-func (w *waiting) setToken() {
+// setToken sets the header field with which the caller can read the stream at any
+// entry.
+func (w *waiter) setToken() {
 	target, known := w.f.Target()
 	if !known || w.f.Kind != request.Engine {
 		return
@@ -179,7 +181,7 @@
 	w.ctx.Response.Header.Set(headerStreamToken, w.token(target.Name, target.Stream))
 }
 
-func (w *waiting) token(target string, id ident.RequestID) string {
+func (w *waiter) token(target string, id ident.RequestID) string {
 	t := streamToken{
 		Target: target, ID: id, Organisation: w.f.Organisation,
 		Expires: w.s.cfg.Now().Add(w.s.cfg.TokenLife).Unix(),
@@ -187,9 +189,9 @@
 	return t.sign(w.s.cfg.TokenKey)
 }
 
-// refer gives the caller the answer of another request: from here, or by
-// sending it to the entry that holds the answer.
-func (w *waiting) refer(to *flight.Referral) {
+// refer gives the caller the answer of another request: directly if this entry
+// holds it, else by a redirect to the entry that does.
+func (w *waiter) refer(to *flight.Referral) {
 	w.leave()
 	if to.Flight != nil {
 		other := *w
@@ -204,8 +206,8 @@
 		outcome.Undetermined(outcome.ReasonDuplicateKey, "another entry holds the answer; read it there"))
 }
 
-// answerWhole collects the answer and gives it in one piece.
-func (w *waiting) answerWhole(chunks [][]byte, p flight.Progress) {
+// answerComplete waits for the complete answer and sends it as one body.
+func (w *waiter) answerComplete(chunks [][]byte, p flight.Progress) {
 	for p.End == nil {
 		var gone bool
 		if chunks, p, gone = w.wait(chunks); gone {
@@ -224,11 +226,11 @@
 	}
 	w.leave()
 	w.observe(p.End.Status)
-	w.giveWhole(chunks, p)
+	w.writeComplete(chunks, p)
 }
 
-// giveWhole forms the response of an answer that is there whole.
-func (w *waiting) giveWhole(chunks [][]byte, p flight.Progress) {
+// writeComplete fills the response with a complete answer.
+func (w *waiter) writeComplete(chunks [][]byte, p flight.Progress) {
 	w.setToken()
 	header := &w.ctx.Response.Header
 	header.Set(headerOutcome, string(p.End.Status.Outcome))
@@ -258,8 +260,8 @@
 	}
 }
 
-// answerStream passes the chunks on as server-sent events while they come.
-func (w *waiting) answerStream(first [][]byte) {
+// answerStream forwards the chunks as server-sent events while they arrive.
+func (w *waiter) answerStream(first [][]byte) {
 	w.setToken()
 	w.ctx.SetStatusCode(fasthttp.StatusOK)
 	w.ctx.SetContentType(eventStreamType)
@@ -270,36 +272,36 @@
 }
 
 // eventWriter is the body of a streamed answer. fasthttp reads it and flushes
-// after each Read, so all chunks that are there go out together.
+// after each Read, so all chunks that are available are sent together.
 type eventWriter struct {
-	w      *waiting
+	w      *waiter
 	conn   net.Conn
-	chunks [][]byte // scratch of frame
+	chunks [][]byte // reused by fill
 	buf    []byte
-	sent   int // of buf
+	sent   int // bytes of buf that Read has returned
 	ended  bool
 }
 
-// Read waits for chunks and gives them as events.
+// Read waits for chunks and returns them as events.
 func (e *eventWriter) Read(p []byte) (int, error) {
 	for e.sent == len(e.buf) {
 		if e.ended {
 			return 0, io.EOF
 		}
 		e.buf, e.sent = e.buf[:0], 0
-		if err := e.more(); err != nil {
+		if err := e.fill(); err != nil {
 			return 0, err
 		}
 	}
-	// A caller that stopped reading holds its memory here no longer than this.
+	// The deadline bounds how long a caller that stopped reading occupies memory.
 	_ = e.conn.SetWriteDeadline(time.Now().Add(e.w.s.cfg.WriteTimeout))
 	n := copy(p, e.buf[e.sent:])
 	e.sent += n
 	return n, nil
 }
 
-// more waits for news and frames it.
-func (e *eventWriter) more() error {
+// fill waits for chunks or the end of the answer and appends their events to buf.
+func (e *eventWriter) fill() error {
 	from := e.w.from
 	chunks, p, gone := e.w.wait(e.chunks[:0])
 	if gone {
@@ -340,12 +342,12 @@
 func (e *eventWriter) end(end *flight.End) {
 	e.ended = true
 	e.buf = append(e.buf, "event: outcome\ndata: "...)
-	e.buf = append(e.buf, endMark(end)...)
+	e.buf = append(e.buf, endEventData(end)...)
 	e.buf = append(e.buf, "\n\ndata: [DONE]\n\n"...)
 	e.w.observe(end.Status)
 }
 
-// Close is called by fasthttp after the last byte, and when a write failed.
+// Close is called by fasthttp after the last byte, or when a write failed.
 func (e *eventWriter) Close() error {
 	if !e.ended {
 		e.w.abandon()
--- a/internal/callers/answering.go
+++ b/internal/callers/answering.go
@@ -11,55 +11,56 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// answering counts the answers whose last byte has not left, and tells the core
-// during a drain.
+// pendingAnswers counts the answers that have not been sent completely, and reports
+// the count to the core during a drain.
 //
-// Failure: the run of a request ends, its caller reads slowly, and the core,
-// which knows of nothing in flight any more, is drained. Symptom: the process
-// closes its links and its log, and may be ended, with answers half sent. The
-// core waits while it was last told a count above 0, so the first answer is told
-// before its request is submitted; the rest is told at most every answeringEvery.
-type answering struct {
+// When a run has ended but its caller reads slowly, the core has nothing in flight
+// any more. If that completed the drain, the process would close its links and its
+// log, and could be terminated, with answers partly sent. The core therefore waits
+// while the last reported count is above 0. The first answer is reported before its
+// request is submitted, later changes at most once per answeringInterval.
+type pendingAnswers struct {
 	core Core
 	view func() *entry.View
 
-	mu   sync.Mutex
-	open int
-	told int
+	mu       sync.Mutex
+	open     int
+	reported int
 }
 
-// answeringEvery bounds how often the core is told of a changed count.
-const answeringEvery = 50 * time.Millisecond
+// answeringInterval is the interval at which a changed count is reported to the core.
+const answeringInterval = 50 * time.Millisecond
 
-// begin counts the answer to the connection's present request in.
-func (a *answering) begin(conn net.Conn) {
+// begin counts the answer to the connection's current request as pending.
+func (a *pendingAnswers) begin(conn net.Conn) {
 	c, ok := conn.(*countedConn)
-	if !ok || c.owed.Swap(true) {
+	if !ok || c.answerPending.Swap(true) {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open++
-	if a.told == 0 {
-		a.tell()
+	if a.reported == 0 {
+		a.submitCount()
 	}
 }
 
-// left is told when a connection's answer has left, or never will.
-func (a *answering) left(conn net.Conn, state fasthttp.ConnState) {
+// connState is the server's ConnState hook. An idle or closed connection has no
+// pending answer any more.
+func (a *pendingAnswers) connState(conn net.Conn, state fasthttp.ConnState) {
 	if state != fasthttp.StateIdle && state != fasthttp.StateClosed {
 		return
 	}
-	if c, ok := conn.(*countedConn); ok && c.owed.Swap(false) {
+	if c, ok := conn.(*countedConn); ok && c.answerPending.Swap(false) {
 		a.mu.Lock()
 		a.open--
 		a.mu.Unlock()
 	}
 }
 
-// report tells of changes until done is closed.
-func (a *answering) report(done <-chan struct{}) {
-	ticker := time.NewTicker(answeringEvery)
+// run reports changes of the count until done is closed.
+func (a *pendingAnswers) run(done <-chan struct{}) {
+	ticker := time.NewTicker(answeringInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -67,20 +68,20 @@
 			return
 		case <-ticker.C:
 			a.mu.Lock()
-			a.tell()
+			a.submitCount()
 			a.mu.Unlock()
 		}
 	}
 }
 
-// tell submits the count if the core drains and was told another. It is called
-// with the lock held, so that the core hears of counts in their order; a full
-// ring leaves it to the next call.
-func (a *answering) tell() {
-	if a.told == a.open || a.view().State != message.Draining {
+// submitCount submits the count if the core is draining and the last reported count
+// differs. It is called with the lock held, so that the core receives counts in
+// order. If the ring is full, the next call submits the count.
+func (a *pendingAnswers) submitCount() {
+	if a.reported == a.open || a.view().State != message.Draining {
 		return
 	}
 	if a.core.Submit(entry.Answering{Open: a.open}) {
-		a.told = a.open
+		a.reported = a.open
 	}
 }
--- a/internal/callers/answering_test.go
+++ b/internal/callers/answering_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("a caller that reads slowly during a drain", func() {
-	// beyondBuffers is more than the sockets' buffers of both sides take.
+	// beyondBuffers is more than the socket buffers of both sides hold.
 	const beyondBuffers = 32 << 20
 
-	// lastTold is the count that the core was told last; -1: none.
+	// lastTold returns the count that was last reported to the core, or -1.
 	lastTold := func(n *node) int {
 		told := all[entry.Answering](n.core)
 		if len(told) == 0 {
@@ -27,11 +27,11 @@
 		return told[len(told)-1].Open
 	}
 
-	// The caller gets every byte. The run ends and the core holds nothing of the
-	// request any more, but the answer still stands in the entry's memory: until
-	// its last byte has left, the core was last told of an open answer, for which
-	// its drain waits. Before the drain the core is told nothing.
-	DescribeTable("is counted until the last byte has left", func(path, request string, handler fasthttp.RequestHandler) {
+	// The caller receives every byte. When the run has ended, the core holds nothing
+	// of the request, but the entry still holds the answer in memory. Until its last
+	// byte is sent, the count last reported to the core is 1, and the drain waits.
+	// Before the drain nothing is reported.
+	DescribeTable("is counted until the last byte is sent", func(path, request string, handler fasthttp.RequestHandler) {
 		target := serve(handler)
 		n := newNode(target, target, func(d *document.Document) { d.Limits.StreamBytes = 2 * beyondBuffers })
 		resp := n.open("POST", path, request, nil)
@@ -47,7 +47,7 @@
 		Expect(read).To(BeNumerically(">=", beyondBuffers))
 		Eventually(func() int { return lastTold(n) }).Should(BeZero())
 	},
-		Entry("whole answer", "/v1/services/slots/reserve", "", func(ctx *fasthttp.RequestCtx) {
+		Entry("complete answer", "/v1/services/slots/reserve", "", func(ctx *fasthttp.RequestCtx) {
 			ctx.SetBodyString(strings.Repeat("x", beyondBuffers))
 		}),
 		Entry("stream", "/v1/chat/completions", chatBody, func(ctx *fasthttp.RequestCtx) {
@@ -56,8 +56,8 @@
 		}),
 	)
 
-	// The request comes in mid-drain. The core hears of its answer before it gets
-	// the request: told later, it could be drained in between.
+	// The request arrives during a drain. The core receives the count before the
+	// request; otherwise the drain could complete in between.
 	It("is counted before its request is submitted", func() {
 		target := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok") })
 		n := newNode(target, target)
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,7 +1,8 @@
-// Package callers is the HTTP interface towards callers. It checks what a
-// caller brings against the document in force, hands the request to the core,
-// and passes the answer on as it arrives. What the core never got is refused
-// as "not run" here; every other end comes from the core or the target.
+// Package callers is the HTTP interface towards callers. It validates each
+// request against the document in force, submits it to the core, and forwards
+// the answer as it arrives. Requests that are never submitted to the core are
+// refused as "not run" here; every other outcome comes from the core or the
+// target.
 package callers
 
 import (
@@ -24,68 +25,68 @@
 
 // Core takes the inputs of the entry's state machine.
 type Core interface {
-	// Submit hands an input over; false when the ring is full.
+	// Submit queues an input; it returns false when the ring is full.
 	Submit(entry.Input) bool
 }
 
-// Follower reads streams that stand at a target; see targets.Targets.Follow.
+// Follower reads streams that a target holds; see targets.Targets.Follow.
 type Follower interface {
 	Follow(f *flight.Flight, at flight.Target, ended func(message.Result)) bool
 }
 
-// Observation is what one answered request gave to measure.
+// Observation holds the measurements of one answered or refused request.
 type Observation struct {
-	// ID is empty where the request was refused before it had one.
+	// ID is empty if the request was refused before it had one.
 	ID ident.RequestID
-	// Refused: the edge refused it, and the core never got it.
+	// Refused reports that the edge refused the request without submitting it
+	// to the core.
 	Refused      bool
 	Organisation string
 	Tier         string
 	Model        string
 	Status       outcome.Status
-	// FirstByte is the time to the first chunk, zero if none came; Total the
-	// time to the end of the answer.
+	// FirstByte is the time to the first chunk, zero if there was none. Total is
+	// the time to the end of the answer.
 	FirstByte, Total time.Duration
 }
 
-// Config is what the edge is started with. Zero fields get defaults.
+// Config configures a Server. Zero fields get defaults.
 type Config struct {
 	Core Core
 	// View returns the core's latest view; never nil.
 	View    func() *entry.View
 	Flights *flight.Registry
 	// Rereads holds streams that other entries dispatched and that are read
-	// here by token, apart from the flights that the core knows.
+	// here by token. They are separate from the flights of the core's requests.
 	Rereads  *flight.Registry
 	Follower Follower
-	// TokenKey signs stream tokens; the same at every entry.
+	// TokenKey signs stream tokens. It is the same at every entry.
 	TokenKey []byte
-	// AcceptedTokenKey is a second key of tokens that are read; nil: none.
+	// AcceptedTokenKey is a second key whose tokens are accepted; nil means none.
 	AcceptedTokenKey []byte
-	// TokenLife is how long a stream token is good.
+	// TokenLife is how long a stream token is valid.
 	TokenLife time.Duration
-	// MaxHeaderBytes is the most that any document can allow.
+	// MaxHeaderBytes is the largest header limit that a document can set.
 	MaxHeaderBytes int
-	// ReadTimeout bounds the reading of a request, WriteTimeout one write to a
-	// caller, IdleTimeout a kept connection's silence.
+	// ReadTimeout bounds reading one request, WriteTimeout one write to a
+	// caller, and IdleTimeout the idle time of a keep-alive connection.
 	ReadTimeout, WriteTimeout, IdleTimeout time.Duration
-	// LookEvery is how often a waiting caller's connection is looked at.
-	LookEvery time.Duration
+	// PollInterval is how often a waiting caller's connection is checked.
+	PollInterval time.Duration
 	// Grace is added to a deadline before the edge stops waiting for the core.
 	Grace time.Duration
-	// Metrics answers /metrics; nil: 404.
+	// Metrics handles /metrics; nil means 404.
 	Metrics fasthttp.RequestHandler
-	// Observe is told of each request that was answered or refused, with what was
-	// known of it; may be nil.
+	// Observe is called for each request that was answered or refused; may be nil.
 	Observe func(Observation)
-	// Arrived is told of each request that is handed to the core, with its path
-	// and the name of its tier, and must not wait; may be nil.
+	// Arrived is called for each request that is submitted to the core, with the
+	// name of its tier, its method and its path. It must not block; may be nil.
 	Arrived func(req *request.Request, tier, method, path string)
 	Log     *logrus.Logger
 	// Now is the clock; time.Now when nil.
 	Now func() time.Time
 
-	// tokenKeys are the keys of tokens that are read.
+	// tokenKeys are the keys whose tokens are accepted.
 	tokenKeys [][]byte
 }
 
@@ -95,7 +96,7 @@
 	setDefault(&c.ReadTimeout, 10*time.Second)
 	setDefault(&c.WriteTimeout, 10*time.Second)
 	setDefault(&c.IdleTimeout, time.Minute)
-	setDefault(&c.LookEvery, 200*time.Millisecond)
+	setDefault(&c.PollInterval, 200*time.Millisecond)
 	setDefault(&c.Grace, 5*time.Second)
 	c.tokenKeys = [][]byte{c.TokenKey}
 	if len(c.AcceptedTokenKey) > 0 {
@@ -121,29 +122,29 @@
 	}
 }
 
-// Server is the edge.
+// Server is the caller-facing HTTP server of an entry, the edge.
 type Server struct {
 	cfg   Config
 	http  *fasthttp.Server
 	index atomic.Pointer[index]
-	// answers counts the answers to "which entry", to spread callers.
+	// answers counts the answers of /v1/entries, to spread callers over entries.
 	answers atomic.Uint32
-	// answering counts what a drain waits for.
-	answering answering
+	// pending counts the unsent answers that a drain waits for.
+	pending pendingAnswers
 }
 
-// streamsPath is where answers are read again, by token.
+// streamsPath is the path prefix under which answers are read again by token.
 const streamsPath = "/v1/streams/"
 
-// New readies a server; Serve runs it.
+// New returns a server; Serve runs it.
 func New(cfg Config) *Server {
 	cfg.setDefaults()
-	s := &Server{cfg: cfg, answering: answering{core: cfg.Core, view: cfg.View}}
+	s := &Server{cfg: cfg, pending: pendingAnswers{core: cfg.Core, view: cfg.View}}
 	s.http = &fasthttp.Server{
 		Handler:               s.routes(),
 		ErrorHandler:          s.unreadable,
 		HeaderReceived:        s.bounds,
-		ConnState:             s.answering.left,
+		ConnState:             s.pending.connState,
 		ReadBufferSize:        cfg.MaxHeaderBytes,
 		ReadTimeout:           cfg.ReadTimeout,
 		WriteTimeout:          cfg.WriteTimeout,
@@ -161,18 +162,18 @@
 	return s
 }
 
-// maxConnections is the most that any document can allow.
+// maxConnections is the largest connection limit that a document can set.
 const maxConnections = 1 << 17
 
 // Serve answers callers on a listener until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
 	done := make(chan struct{})
 	defer close(done)
-	go s.answering.report(done)
+	go s.pending.run(done)
 	return s.http.Serve(&limitedListener{Listener: ln, server: s})
 }
 
-// Shutdown stops listening and waits for the connections to end.
+// Shutdown stops listening and waits for the connections to close.
 func (s *Server) Shutdown() error { return s.http.Shutdown() }
 
 func (s *Server) routes() fasthttp.RequestHandler {
@@ -186,7 +187,7 @@
 	r.POST("/v1/chat/completions", s.completion)
 	r.POST("/v1/completions", s.completion)
 	r.GET(streamsPath+"{token}", s.reread)
-	r.ANY(streamsPath+"{token}", s.notReread)
+	r.ANY(streamsPath+"{token}", s.rereadMethodNotAllowed)
 	r.ANY("/v1/services/{service}", s.service)
 	r.ANY("/v1/services/{service}/{path:*}", s.service)
 	if s.cfg.Metrics != nil {
@@ -203,7 +204,7 @@
 	return fasthttp.RequestConfig{MaxRequestBodySize: s.limits().BodyBytes}
 }
 
-// defaultLimits hold until there is a document.
+// defaultLimits apply until a document is in force.
 var defaultLimits = document.Limits{BodyBytes: 1 << 20, HeaderBytes: 8 << 10, Connections: 1024, StreamBytes: 1 << 20}
 
 // limits returns the limits in force.
@@ -214,7 +215,7 @@
 	return &defaultLimits
 }
 
-// unreadable answers a request that could not be read.
+// unreadable refuses a request that could not be read.
 func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
 	linger(ctx.Conn())
 	code, status := unreadableStatus(err)
--- a/internal/callers/completion.go
+++ b/internal/callers/completion.go
@@ -12,11 +12,11 @@
 	"sycamoretrail/internal/prompt"
 )
 
-// defaultMaxTokens is the bound of an answer whose caller set none.
+// defaultMaxTokens bounds an answer whose caller set no bound.
 const defaultMaxTokens = 512
 
 // completionBody holds the fields of a completion that scheduling needs; the
-// body itself is passed on as it came.
+// body itself is forwarded unchanged.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -45,8 +45,8 @@
 	s.run(c, req, f)
 }
 
-// refuseError answers with a refusal that the edge decided; c is nil when the
-// caller could not be identified.
+// refuseError answers with a refusal by the edge; c is nil if the caller could not
+// be identified.
 func (s *Server) refuseError(ctx *fasthttp.RequestCtx, c *call, err error) {
 	status := statusOf(err)
 	seen := Observation{Status: status, Refused: true}
@@ -57,9 +57,9 @@
 	s.refuse(ctx, statusCode(status), string(seen.ID), status)
 }
 
-// readCompletion checks a completion and describes it to the core.
+// readCompletion validates a completion and returns its request and its flight.
 func (s *Server) readCompletion(c *call) (request.Request, *flight.Flight, error) {
-	// The connection reuses its buffer after the handler, the flight outlives it.
+	// The connection reuses its buffer after the handler returns; the flight lives on.
 	body := append([]byte(nil), c.ctx.PostBody()...)
 	var in completionBody
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -78,7 +78,7 @@
 		return req, nil, err
 	}
 	req.Fingerprint = fingerprint(c.org.name, in.Model, body)
-	if req.Idempotent, err = c.idempotentMark(true); err != nil {
+	if req.Idempotent, err = c.idempotentHeader(true); err != nil {
 		return req, nil, err
 	}
 	req.Kind = request.Engine
@@ -90,7 +90,8 @@
 	return req, s.newFlight(c, &req, string(c.ctx.Path()), in.Stream, body), nil
 }
 
-// maxTokens bounds the answer so that it fits the context with the prompt.
+// maxTokens returns the bound of the answer, which together with the prompt must fit
+// the context.
 func maxTokens(in *completionBody, promptTokens, context int) (int, error) {
 	if promptTokens >= context {
 		return 0, refused(outcome.ReasonTooLarge, "the prompt has about %d tokens; the model's context is %d", promptTokens, context)
@@ -111,7 +112,7 @@
 	return *asked, nil
 }
 
-// promptText joins the text of all messages, or of the prompt.
+// promptText concatenates the text of all messages, or of the prompt.
 func promptText(in *completionBody) (string, error) {
 	if len(in.Messages) == 0 && len(in.Prompt) == 0 {
 		return "", refused(outcome.ReasonMalformed, "neither messages nor prompt is given")
@@ -130,7 +131,7 @@
 	return text.String(), nil
 }
 
-// addText adds a text, or a list of texts and parts with text.
+// addText appends a text, or a list of texts and parts with text.
 func addText(text *strings.Builder, raw json.RawMessage) error {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
@@ -174,12 +175,12 @@
 	return nil
 }
 
-// newFlight readies the flight of a checked request.
+// newFlight returns the flight of a validated request.
 func (s *Server) newFlight(c *call, req *request.Request, path string, stream bool, body []byte) *flight.Flight {
 	limit := c.view.Document.Limits.StreamBytes
 	return flight.New(&flight.Flight{
 		ID: req.ID, Organisation: req.Organisation, Fingerprint: req.Fingerprint, Kind: req.Kind,
-		Method: string(c.ctx.Method()), Path: path, Header: passedOn(&c.ctx.Request.Header),
+		Method: string(c.ctx.Method()), Path: path, Header: forwardedFields(&c.ctx.Request.Header),
 		Stream: stream, PromptTokens: req.PromptTokens, MaxAnswer: limit,
 	}, body, limit)
 }
--- a/internal/callers/cost_test.go
+++ b/internal/callers/cost_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkServiceFingerprint is the cost of a service call's fingerprint, whose
-// body is as large as most documents allow.
+// BenchmarkServiceFingerprint measures the fingerprint of a service call whose body
+// is as large as most documents allow.
 func BenchmarkServiceFingerprint(b *testing.B) {
 	body := bytes.Repeat([]byte("x"), 64<<10)
 	b.ReportAllocs()
--- a/internal/callers/entries.go
+++ b/internal/callers/entries.go
@@ -9,7 +9,7 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// EntriesAnswer tells a caller which entries to use, the best first.
+// EntriesAnswer lists the entries that a caller may use, in order of preference.
 type EntriesAnswer struct {
 	Entries   []EntryRow `json:"entries"`
 	GoodForMS int64      `json:"good_for_ms"`
@@ -40,11 +40,12 @@
 	ctx.SetBody(body)
 }
 
-// entriesFor puts the entries of the caller's availability zone first, and within
-// its zone the entry that answers: the prefix is its own, so that at any other
-// entry each request would cost a question to it. It names itself only while it
-// is ready. The others of a zone are rotated by one more place on each answer:
-// callers keep to the entry that is named first, and would all keep to the same.
+// entriesFor lists the entries of the caller's availability zone first, and within
+// its zone the answering entry: the ids that the caller forms have its prefix, so
+// that any other entry would have to query it for each request. It lists itself only
+// while it is ready. The other entries of a zone are rotated by one more position on
+// each answer, since callers stay with the first entry of the list and would
+// otherwise all use the same one.
 func entriesFor(view *entry.View, zone string, turn int) EntriesAnswer {
 	answer := EntriesAnswer{
 		Entries:   make([]EntryRow, 0, len(view.Entries)),
@@ -68,7 +69,7 @@
 	return answer
 }
 
-// rotated is the list begun at another place for each turn.
+// rotated returns the list rotated left by turn positions.
 func rotated(list []EntryRow, turn int) []EntryRow {
 	if len(list) == 0 {
 		return nil
--- a/internal/callers/failure_test.go
+++ b/internal/callers/failure_test.go
@@ -16,15 +16,15 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// cuttingServer answers each connection's first request by write and closes it.
-// It counts the requests of each method that it read whole.
-type cuttingServer struct {
+// truncatingServer answers each connection's first request with the text that write
+// returns, and closes the connection. It counts the complete requests of each method.
+type truncatingServer struct {
 	posts, gets, deletes atomic.Int32
-	// write gives the answer to a request line; "" closes without an answer.
+	// write returns the answer to a request line; "" closes without an answer.
 	write func(line string) string
 }
 
-func (s *cuttingServer) start() string {
+func (s *truncatingServer) start() string {
 	ln := listen()
 	DeferCleanup(func() { _ = ln.Close() })
 	go func() {
@@ -39,7 +39,7 @@
 	return ln.Addr().String()
 }
 
-func (s *cuttingServer) answer(conn net.Conn) {
+func (s *truncatingServer) answer(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	var req fasthttp.Request
 	if req.Read(bufio.NewReader(conn)) != nil {
@@ -56,7 +56,8 @@
 	_, _ = conn.Write([]byte(s.write(string(req.Header.Method()) + " " + string(req.RequestURI()))))
 }
 
-// chunked is an event stream in chunked coding; only a complete one has its end.
+// chunked returns an event stream in chunked coding, with the last chunk only if
+// complete.
 func chunked(events string, complete bool) string {
 	text := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		fmt.Sprintf("%x\r\n%s\r\n", len(events), events)
@@ -68,11 +69,11 @@
 
 const notFound = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
-var _ = Describe("an id whose owner could not be asked", func() {
-	// The caller is told "unknown" and sends the same id to the same entry again.
-	// By then the owner answers that it gave the id up: the request runs, once,
-	// and its caller gets the answer in place of the old word.
-	It("is asked about anew when it comes again", func() {
+var _ = Describe("an id whose owner could not be reached", func() {
+	// The caller receives "unknown" and resends the same id to the same entry. By
+	// then the owner replies that it handed the id over: the request runs once, and
+	// its caller receives the answer instead of the earlier "unknown".
+	It("is looked up again when it is resent", func() {
 		var posts atomic.Int32
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			posts.Add(1)
@@ -95,11 +96,11 @@
 		Expect(posts.Load()).To(Equal(int32(1)))
 	})
 
-	// The caller asked a second entry with its id, was told "unknown", and then
-	// reads the stream there with its token. The second entry's flight of the id
-	// holds only that word; the engine holds the stream, which the caller gets.
-	It("does not keep its stream from being read again", func() {
-		engine := &cuttingServer{write: func(string) string { return chunked(token(0)+doneEvent, true) }}
+	// The caller resent its id to a second entry, received "unknown", and then reads
+	// the stream there with its token. The second entry's flight of the id holds only
+	// that outcome; the engine holds the stream, which the caller receives.
+	It("does not prevent its stream from being read again", func() {
+		engine := &truncatingServer{write: func(string) string { return chunked(token(0)+doneEvent, true) }}
 		address := engine.start()
 		owner, other := newNode(address, ""), newNode(address, "")
 		resp, _ := owner.call("POST", "/v1/chat/completions", chatBody, nil)
@@ -116,13 +117,13 @@
 	})
 })
 
-var _ = Describe("a target that breaks off", func() {
-	// The caller gets the whole answer, each token once. The engine's connection
-	// breaks after two tokens; the edge asks for the stream from token 2 on, and
-	// the engine repeats token 1 before it goes on. The engine holds streams
-	// across lost connections, so no second dispatch is needed.
-	It("is asked for the rest of the stream", func() {
-		engine := &cuttingServer{write: func(line string) string {
+var _ = Describe("a target whose answer is truncated", func() {
+	// The caller receives the complete answer, each token once. The engine's
+	// connection breaks after two tokens; the edge requests the stream from token 2
+	// on, and the engine repeats token 1 first. The engine holds streams across lost
+	// connections, so no second dispatch is needed.
+	It("is requested to send the rest of the stream", func() {
+		engine := &truncatingServer{write: func(line string) string {
 			if strings.HasPrefix(line, "POST") {
 				return chunked(token(0)+token(1), false)
 			}
@@ -140,11 +141,11 @@
 		Expect(engine.posts.Load()).To(Equal(int32(1)))
 	})
 
-	// The caller gets every token although one was left out in between. The
-	// engine sends token 0 and then 2; the edge sees by the numbers that 1 is
-	// missing and reads the stream again from there.
-	It("is asked again for a token that it left out", func() {
-		engine := &cuttingServer{write: func(line string) string {
+	// The caller receives every token although the engine sends token 0 and then 2:
+	// the edge detects by the numbers that 1 is missing and reads the stream again
+	// from there.
+	It("is requested to send a token that it left out", func() {
+		engine := &truncatingServer{write: func(line string) string {
 			if strings.HasPrefix(line, "POST") {
 				return chunked(token(0)+token(2)+doneEvent, true)
 			}
@@ -161,11 +162,11 @@
 		Expect(mark.Chunks).To(Equal(3))
 	})
 
-	// The caller is told that the request ran in part, after the tokens that
-	// came. The engine dies mid-stream and has lost the stream when it is asked
-	// again; nothing is dispatched a second time.
+	// The caller receives the outcome ran_in_part after the tokens that arrived. The
+	// engine crashes mid-stream and does not hold the stream any more when it is
+	// requested again; nothing is dispatched a second time.
 	It("ends the stream with ran_in_part when the stream is lost", func() {
-		engine := &cuttingServer{write: func(line string) string {
+		engine := &truncatingServer{write: func(line string) string {
 			if strings.HasPrefix(line, "POST") {
 				return chunked(token(0), false)
 			}
@@ -181,11 +182,11 @@
 		Expect(engine.posts.Load()).To(Equal(int32(1)))
 	})
 
-	// The caller gets 502 and no "not run". The engine reads the request and
-	// closes without a byte of answer: it may have begun. fasthttp would send a
-	// request again by itself here; the edge must not.
-	DescribeTable("gets a request that may have arrived exactly once", func(method, path string) {
-		target := &cuttingServer{write: func(line string) string {
+	// The caller receives 502 and not "not run". The engine reads the request and
+	// closes the connection without an answer: the request may have run. fasthttp
+	// retries such a request by default; the edge must not.
+	DescribeTable("receives a request that may have arrived exactly once", func(method, path string) {
+		target := &truncatingServer{write: func(line string) string {
 			if strings.Contains(line, "/streams/") {
 				return notFound
 			}
@@ -208,13 +209,13 @@
 	},
 		Entry("completion", "POST", "/v1/chat/completions"),
 		Entry("service call that may not be repeated", "POST", "/v1/services/slots/reserve"),
-		Entry("service call that HTTP calls idempotent", "GET", "/v1/services/slots/free"),
+		Entry("service call with a method that is idempotent in HTTP", "GET", "/v1/services/slots/free"),
 	)
 
-	// The caller gets its whole answer. A first request leaves a kept
-	// connection, which the target then closes; the second request must notice
-	// before its first byte and take a fresh connection, not fail as "unknown".
-	It("costs nothing when it closed a kept connection between requests", func() {
+	// The caller receives its complete answer. A first request leaves a keep-alive
+	// connection, which the target then closes. The second request must detect that
+	// before its first byte and use a new connection, not fail as "unknown".
+	It("fails no request when it closes an idle connection between requests", func() {
 		var served atomic.Int32
 		srv := &fasthttp.Server{Logger: quiet(), Handler: func(ctx *fasthttp.RequestCtx) {
 			served.Add(1)
@@ -241,9 +242,9 @@
 		Expect(conns).To(HaveLen(1))
 	})
 
-	// The caller gets "not run". Nothing listens at the target's address, so
-	// provably no byte was sent; the core may choose another target.
-	It("is not run where the connection is refused", func() {
+	// The caller receives "not run". Nothing listens at the target's address, so no
+	// byte was sent, and the core may choose another target.
+	It("has run nothing where the connection is refused", func() {
 		ln := listen()
 		address := ln.Addr().String()
 		Expect(ln.Close()).To(Succeed())
@@ -258,7 +259,7 @@
 		Expect(all[entry.RunStarted](n.core)).To(BeEmpty())
 	})
 
-	DescribeTable("says so itself when it admits nothing", func(said string, result message.Result) {
+	DescribeTable("declares that it did not admit the request", func(said string, result message.Result) {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.Response.Header.Set("X-Not-Admitted", said)
 			ctx.SetStatusCode(503)
@@ -272,11 +273,11 @@
 		Entry("leaving", "leaving", message.ResultLeaving),
 	)
 
-	// The caller that asked for a whole answer gets one. The engine's whole
-	// answer breaks off; nothing of it was passed on, so the stream of the same
-	// request is read instead and put together.
-	It("has a broken whole answer put together from its stream", func() {
-		engine := &cuttingServer{write: func(line string) string {
+	// A caller that asked for a complete answer receives one. The engine's answer is
+	// truncated before any of it was forwarded, so the edge reads the stream of the
+	// same request and assembles the answer from it.
+	It("has a truncated complete answer assembled from its stream", func() {
+		engine := &truncatingServer{write: func(line string) string {
 			if strings.HasPrefix(line, "POST") {
 				return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 900\r\n\r\n{\"choices\""
 			}
@@ -291,7 +292,7 @@
 	})
 })
 
-// tappedListener hands out the connections that it accepts.
+// tappedListener also sends the connections that it accepts to conns.
 type tappedListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -305,10 +306,10 @@
 	return conn, err
 }
 
-var _ = Describe("a caller that is gone", func() {
-	// Nobody sees an answer. The caller closes its connection before the first
-	// token, when there is nothing to write yet; the edge sees it by looking at
-	// the socket, tells the core, and the core has the engine's stream cancelled.
+var _ = Describe("a caller that has disconnected", func() {
+	// The caller closes its connection before the first token, when there is nothing
+	// to write yet. The edge detects that by polling the socket and reports it to the
+	// core, which cancels the engine's stream.
 	It("has its request cancelled before the first token", func() {
 		release := make(chan struct{})
 		deleted := make(chan string, 1)
@@ -364,7 +365,7 @@
 	})
 })
 
-// cancelWhenGone makes the fake core cancel a run whose caller is gone.
+// cancelWhenGone makes the fake core cancel a run whose caller has disconnected.
 func cancelWhenGone(n *node) {
 	n.core.onGone = func(g entry.CallerGone) {
 		n.targets.Cancel(entry.CancelRun{ID: g.ID, Status: outcome.Partial(outcome.ReasonCallerGone, "")})
--- a/internal/callers/harness_test.go
+++ b/internal/callers/harness_test.go
@@ -45,14 +45,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// listen opens a loopback listener that the spec closes.
+// listen opens a loopback listener, which the spec must close.
 func listen() net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	return ln
 }
 
-// serve runs a tiny server for one spec and returns its address.
+// serve runs a server for one spec and returns its address.
 func serve(handler fasthttp.RequestHandler) string {
 	ln := listen()
 	srv := &fasthttp.Server{Handler: handler, Logger: quiet(), StreamRequestBody: false}
@@ -67,8 +67,8 @@
 	return log
 }
 
-// fakeCore dispatches what is submitted, at once and always to one target. It
-// notes every input.
+// fakeCore dispatches each submitted request at once, always to one target. It
+// records every input.
 type fakeCore struct {
 	mu      sync.Mutex
 	inputs  []entry.Input
@@ -119,22 +119,22 @@
 	return found
 }
 
-// node is one entry: both edges round a fake core.
+// node is one entry: both edges with a fake core between them.
 type node struct {
 	core    *fakeCore
 	flights *flight.Registry
 	targets *targets.Targets
 	address string
 	doc     *document.Document
-	// view is what the edge reads; a spec may put another in its place.
+	// view is what the edge reads; a spec may replace it.
 	view atomic.Pointer[entry.View]
-	// recorder writes a trace where a spec sets it before its first call.
+	// recorder writes a trace if a spec sets it before its first call.
 	recorder *recording.Recorder
 	// seen is what the edge observed.
 	seen observations
 }
 
-// observations are noted on the server's goroutines.
+// observations are recorded on the server's goroutines.
 type observations struct {
 	mu  sync.Mutex
 	all []callers.Observation
@@ -194,7 +194,7 @@
 	srv := callers.New(callers.Config{
 		Core: n.core, View: n.view.Load, Flights: n.flights,
 		Rereads:  flight.NewRegistry(flight.Config{MaxOpen: 64, Retain: time.Minute, RetainBytes: 1 << 20}),
-		Follower: n.targets, TokenKey: tokenKey, Log: quiet(), LookEvery: 10 * time.Millisecond,
+		Follower: n.targets, TokenKey: tokenKey, Log: quiet(), PollInterval: 10 * time.Millisecond,
 		Arrived: n.arrived, Observe: n.seen.add,
 	})
 	ln := listen()
@@ -204,14 +204,15 @@
 	return n
 }
 
-// inState has the edge read a view of another state of life.
+// inState replaces the view that the edge reads by one with another state.
 func (n *node) inState(state message.State) {
 	view := *n.view.Load()
 	view.State = state
 	n.view.Store(&view)
 }
 
-// settle gives the final word where no answer carries it, as the core does.
+// settle gives the request its final outcome if no answer carries one, as the core
+// does.
 func (n *node) settle(e entry.RunEnded) {
 	switch {
 	case e.Result == message.ResultComplete:
@@ -222,7 +223,7 @@
 	}
 }
 
-// call makes one call as acme and returns the answer with its whole body.
+// call makes one call as acme and returns the response and its complete body.
 func (n *node) call(method, path, body string, header map[string]string) (*http.Response, []byte) {
 	resp := n.open(method, path, body, header)
 	defer func() { _ = resp.Body.Close() }()
@@ -231,7 +232,7 @@
 	return resp, data
 }
 
-// open makes one call and leaves the body to be read.
+// open makes one call and returns the response with its body unread.
 func (n *node) open(method, path, body string, header map[string]string) *http.Response {
 	req, err := http.NewRequest(method, "http://"+n.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -257,7 +258,7 @@
 	Chunks                    int
 }
 
-// readStream splits a streamed answer into its numbered chunks and its end.
+// readStream splits a streamed answer into its numbered chunks and its end event.
 func readStream(body []byte) (ids []string, chunks []string, mark end) {
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	id, event := "", ""
@@ -278,7 +279,7 @@
 	return ids, chunks, mark
 }
 
-// token is the event of one token, as an engine sends it.
+// token returns the event of one token, as an engine sends it.
 func token(i int) string {
 	return fmt.Sprintf("id: %d\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t%d \"}}]}\n\n", i, i)
 }
--- a/internal/callers/index.go
+++ b/internal/callers/index.go
@@ -9,7 +9,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// index finds parts of one document by name; formed once for each document.
+// index finds the parts of one document by name. It is built once per document.
 type index struct {
 	doc      *document.Document
 	orgs     map[string]*organisation // by hex SHA-256 of the token
@@ -31,8 +31,8 @@
 	repeatable map[string]bool
 }
 
-// indexFor returns the index of the view's document. Two callers may form it at
-// once after a change; both forms are equal.
+// indexFor returns the index of the view's document. After a change two goroutines
+// may build it concurrently; the results are equal.
 func (s *Server) indexFor(view *entry.View) *index {
 	if ix := s.index.Load(); ix != nil && ix.doc == view.Document {
 		return ix
@@ -91,8 +91,8 @@
 	return in
 }
 
-// organisationOf finds who a bearer token belongs to; nil: nobody. The lookup
-// is by hash, so its time tells nothing of the tokens.
+// organisationOf returns the organisation that a bearer token belongs to, or nil.
+// The lookup is by hash, so its duration reveals nothing about the tokens.
 func (ix *index) organisationOf(token []byte) *organisation {
 	sum := sha256.Sum256(token)
 	var hash [2 * sha256.Size]byte
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -13,8 +13,8 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// limitedListener refuses connections beyond the document's limit. Without it
-// many idle connections would take the memory that running answers need.
+// limitedListener refuses connections beyond the document's limit. Without a limit
+// many idle connections would take the memory that answers in progress need.
 type limitedListener struct {
 	net.Listener
 	server *Server
@@ -40,32 +40,33 @@
 	}
 }
 
-// connectionRefusal is a whole HTTP answer; nothing of the request was read.
+// connectionRefusal returns a complete HTTP response. It is sent without reading
+// the request.
 func connectionRefusal() []byte {
 	body := refusalBody("", outcome.Refused(outcome.ReasonEntryFull, notReadyRetry, "this entry has limits.connections open"))
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s",
 		fasthttp.StatusServiceUnavailable, fasthttp.StatusMessage(fasthttp.StatusServiceUnavailable), jsonType, len(body), body)
 }
 
-// countedConn gives its place back when it is closed.
+// countedConn releases its slot of the connection limit when it is closed.
 type countedConn struct {
 	net.Conn
 	open      *atomic.Int64
 	once      sync.Once
 	lingering atomic.Bool
-	// owed: the answer to the connection's present request has not left yet.
-	owed atomic.Bool
+	// answerPending is set until the answer to the current request has been sent.
+	answerPending atomic.Bool
 }
 
 const (
-	// lingerTimeout and lingerBytes bound what is read after a refusal.
+	// lingerTimeout and lingerBytes bound the reading after a refusal.
 	lingerTimeout = 500 * time.Millisecond
 	lingerBytes   = 4 << 20
 )
 
-// linger has the connection's Close wait for what the caller still sends. Closed
-// with unread bytes, a socket resets the connection, and a caller that is still
-// sending an oversize body sees the reset in place of the refusal.
+// linger makes the connection's Close discard what the caller still sends. Closing a
+// socket with unread bytes resets the connection, and a caller that is still sending
+// an oversize body would see the reset instead of the refusal.
 func linger(conn net.Conn) {
 	if c, ok := conn.(*countedConn); ok {
 		c.lingering.Store(true)
@@ -91,5 +92,5 @@
 	_, _ = io.CopyN(io.Discard, tcp, lingerBytes)
 }
 
-// NetConn is the connection itself, for looking at its socket.
+// NetConn returns the underlying connection, for checks of its socket.
 func (c *countedConn) NetConn() net.Conn { return c.Conn }
--- a/internal/callers/pass_test.go
+++ b/internal/callers/pass_test.go
@@ -23,7 +23,7 @@
 		method, uri, body, key, auth, id, other, contentType string
 	}
 
-	It("get method, path, query, body and fields whole, and answer whole", func() {
+	It("receive method, path, query, body and header fields unchanged, and the caller receives their answer unchanged", func() {
 		var got seen
 		var calls atomic.Int32
 		service := serve(func(ctx *fasthttp.RequestCtx) {
@@ -50,7 +50,7 @@
 		Expect(all[entry.Submit](n.core)[0].Request.Idempotent).To(BeFalse())
 	})
 
-	DescribeTable("are repeatable only where the document says so", func(method, mark string, want bool) {
+	DescribeTable("are repeatable only for the methods that the document lists", func(method, mark string, want bool) {
 		service := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(204) })
 		n := newNode("", service)
 		header := map[string]string{}
@@ -71,8 +71,8 @@
 	)
 })
 
-var _ = Describe("the request that the core gets", func() {
-	It("is what body, header and document say", func() {
+var _ = Describe("the request that is submitted to the core", func() {
+	It("has the values of body, header and document", func() {
 		engine := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("{}") })
 		n := newNode(engine, "")
 		text := strings.Repeat("abcd", request.PrefixBlockTokens*2+1)
@@ -92,7 +92,7 @@
 	})
 })
 
-var _ = Describe("attaching again", func() {
+var _ = Describe("reading an answer again", func() {
 	whole := token(0) + token(1) + token(2) + usageEvent + doneEvent
 
 	It("gives the rest at the same entry, from its own memory", func() {
@@ -110,10 +110,10 @@
 		Expect(mark).To(Equal(firstEnd))
 	})
 
-	// The caller loses its entry after token 0 and takes its token to another
-	// one, while the engine goes on. It gets the rest from token 1 on, with count
-	// and checksum of the whole: the entry reads the stream at the engine from its
-	// beginning, and hands out the part that was asked for.
+	// The caller loses its entry after token 0 and sends its stream token to another
+	// one, while the engine goes on. It receives the rest from token 1 on, with count
+	// and checksum of the complete answer: the entry reads the engine's stream from
+	// the beginning and sends the requested part.
 	It("gives the rest at another entry, from the target", func() {
 		release := make(chan struct{})
 		var posts atomic.Int32
@@ -143,7 +143,7 @@
 		Expect(all[entry.Submit](b.core)).To(BeEmpty())
 	})
 
-	DescribeTable("refuses what it must, without saying not run", func(path, bearer string, code int) {
+	DescribeTable("refuses invalid calls, but never as not run", func(path, bearer string, code int) {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
 			ctx.SetBodyString(whole)
@@ -161,8 +161,8 @@
 		Entry("no number", "/v1/streams/TOKEN?from=-1", key, 400),
 	)
 
-	// Both callers see the same whole answer. The second one sends the same
-	// request id again while the first waits; the core lets it join the run.
+	// Both callers receive the same complete answer. The second one sends the same
+	// request id while the first waits; the core lets it join the run.
 	It("joins a run of the same id", func() {
 		release := make(chan struct{})
 		var posts atomic.Int32
@@ -204,7 +204,7 @@
 })
 
 var _ = Describe("the entry's own calls", func() {
-	It("names the entries, the caller's zone first", func() {
+	It("lists the entries, the caller's zone first", func() {
 		n := newNode("", "")
 		resp := n.open("GET", "/v1/entries?zone=z2", "", nil)
 		defer func() { _ = resp.Body.Close() }()
@@ -217,10 +217,10 @@
 		}))
 	})
 
-	// A caller forms ids with the answer's prefix. Sent to the entry that answered
-	// they cost no question between entries, so it comes first of its zone; the
-	// caller's zone still goes before it.
-	DescribeTable("names itself first within its zone", func(zone string, names ...string) {
+	// A caller forms ids with the prefix in the answer. The answering entry owns such
+	// ids and needs to query no other entry, so it is listed first in its zone. The
+	// caller's zone still precedes the other zones.
+	DescribeTable("lists itself first within its zone", func(zone string, names ...string) {
 		n := newNode("", "")
 		view := *n.view.Load()
 		view.Entries = []message.Member{
@@ -241,9 +241,9 @@
 		Entry("none", "", "self", "a", "b", "c"),
 	)
 
-	// Callers keep to the entry that is named first. Were the order the same in each
-	// answer, all callers of another zone would keep to one entry of it.
-	It("spreads callers over the others of a zone", func() {
+	// Callers stay with the first entry of the list. If the order were the same in
+	// each answer, all callers from another zone would use one entry.
+	It("spreads callers over the other entries of a zone", func() {
 		n := newNode("", "")
 		view := *n.view.Load()
 		view.Entries = []message.Member{{Name: "a", Zone: "z2"}, {Name: "b", Zone: "z2"}, {Name: "c", Zone: "z2"}}
@@ -258,7 +258,7 @@
 		Expect(first).To(Equal(map[string]int{"a": 2, "b": 2, "c": 2}))
 	})
 
-	It("tells its health", func() {
+	It("reports its health", func() {
 		n := newNode("", "")
 		resp, _ := n.call("GET", "/healthz", "", nil)
 		Expect(resp.StatusCode).To(Equal(200))
--- a/internal/callers/path_test.go
+++ b/internal/callers/path_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the data path", func() {
-	It("passes a streamed answer on whole, numbered and with its end mark", func() {
+	It("forwards a complete streamed answer, numbered and with its end event", func() {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
 			ctx.SetBodyString(token(0) + token(1) + token(2) + usageEvent + doneEvent)
@@ -37,7 +37,7 @@
 		Expect(all[entry.RunStarted](n.core)).To(HaveLen(1))
 	})
 
-	It("passes a whole answer on with outcome and checksum", func() {
+	It("forwards a complete answer with outcome and checksum", func() {
 		const answer = `{"choices":[{"message":{"content":"hi"}}],"usage":{"prompt_tokens":3,"completion_tokens":1}}`
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("application/json")
--- a/internal/callers/recording_test.go
+++ b/internal/callers/recording_test.go
@@ -16,11 +16,11 @@
 )
 
 var _ = Describe("a recorded trace", func() {
-	// An operator records the traffic of an entry and hands the file to somebody
-	// else. Prompts, bodies, bearer tokens, idempotency keys and the paths of
-	// service calls belong to the callers; none may be found in it, also not as a
-	// plain hash, which short texts do not survive.
-	It("holds times, sizes and tiers, and nothing that a caller wrote", func() {
+	// Operators may pass a recorded trace on. Prompts, bodies, bearer tokens,
+	// idempotency keys and the paths of service calls belong to the callers and must
+	// not appear in it, nor their plain hashes: a short text can be guessed from its
+	// hash.
+	It("holds times, sizes and tiers, and no content from callers", func() {
 		service := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok") })
 		n := newNode(service, service)
 		file := filepath.Join(GinkgoT().TempDir(), "trace.jsonl")
@@ -51,9 +51,9 @@
 })
 
 var _ = Describe("what the edge observes", func() {
-	// A caller makes up a name of a tier for each request. Every name that got into
-	// the metrics would be a series that stays until the entry ends.
-	It("holds no tier that a caller made up", func() {
+	// A caller may send a new tier name with each request. Each name that reached the
+	// metrics would add a series that lasts until the entry ends.
+	It("holds no tier name that the document does not define", func() {
 		n := newNode("", "")
 		n.call("POST", "/v1/completions", chatBody, map[string]string{"X-Tier": "made-up"})
 		Expect(n.seen.list()).To(ConsistOf(And(HaveField("Tier", ""), HaveField("Status.Reason", outcome.ReasonTierNotAllowed))))
--- a/internal/callers/referral_test.go
+++ b/internal/callers/referral_test.go
@@ -14,7 +14,7 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-var _ = Describe("a request whose idempotency key belongs to another", func() {
+var _ = Describe("a request whose idempotency key belongs to another request", func() {
 	const path = "/v1/services/slots/reserve"
 
 	counted := func(calls *atomic.Int32) string {
@@ -28,10 +28,10 @@
 		return map[string]string{"X-Request-Id": string(id), "Idempotency-Key": "k"}
 	}
 
-	// The caller lost the answer of its reservation and sends it again with the
-	// same key and a new id. The core says that the first request holds the key;
-	// the caller gets the first answer, and the service is called once.
-	It("is given the answer of the first, held here", func() {
+	// The caller lost the answer of its reservation and resends it with the same key
+	// and a new id. The core replies that the first request holds the key; the caller
+	// receives the first answer, and the service is called once.
+	It("receives the answer of the first request if this entry holds it", func() {
 		var calls atomic.Int32
 		n := newNode("", counted(&calls))
 		first, again := prefix.ID("first"), prefix.ID("again")
@@ -45,9 +45,9 @@
 		Expect(calls.Load()).To(Equal(int32(1)))
 	})
 
-	// The answer is at another entry. The caller is sent there with a token, reads
-	// the answer by GET, and nothing is sent to the service a second time.
-	It("is sent to the entry that holds the answer", func() {
+	// Another entry holds the answer. The caller is redirected there with a token,
+	// reads the answer by GET, and nothing is sent to the service a second time.
+	It("is redirected to the entry that holds the answer", func() {
 		var calls atomic.Int32
 		service := counted(&calls)
 		owner, other := newNode("", service), newNode("", service)
@@ -66,9 +66,9 @@
 		Expect(calls.Load()).To(Equal(int32(1)))
 	})
 
-	// A client follows 303 and keeps POST, as some do. It must not read "not run"
-	// there: the first request ran, and its answer is held at this address.
-	It("is never told that nothing ran when it follows with another method", func() {
+	// Some clients keep POST when they follow a 303. They must not receive "not run":
+	// the first request ran, and its answer is held at this address.
+	It("is never refused as not run when it follows with another method", func() {
 		n := newNode("", "")
 		for _, method := range []string{"POST", "PUT", "DELETE", "HEAD"} {
 			resp, _ := n.call(method, "/v1/streams/pAFv", "", nil)
@@ -78,9 +78,9 @@
 		}
 	})
 
-	// Another organisation names the id of a request that is not its own. It is
-	// told that the answer is not held, and never sees it.
-	It("is not given the answer of another organisation", func() {
+	// An organisation sends the id of another organisation's request. It is refused
+	// with answer_not_held and does not receive the answer.
+	It("does not receive the answer of another organisation", func() {
 		var calls atomic.Int32
 		n := newNode("", counted(&calls), func(d *document.Document) {
 			d.Organisations[1].Services = []string{"slots"}
@@ -96,7 +96,7 @@
 	})
 })
 
-// noRedirect makes one POST and gives the answer without following it.
+// noRedirect makes one POST and returns the response without following redirects.
 func noRedirect(n *node, path string, header map[string]string) *http.Response {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.address+path, nil)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/callers/refusal.go
+++ b/internal/callers/refusal.go
@@ -12,7 +12,7 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// Header fields of the callers' interface.
+// Header fields of the interface towards callers.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerStreamToken = "X-Stream-Token"
@@ -29,7 +29,7 @@
 	eventStreamType = "text/event-stream"
 )
 
-// Ran says in a refusal whether the request ran.
+// Ran reports in a refusal whether the request ran.
 type Ran string
 
 const (
@@ -38,7 +38,7 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Refusal is the body of an answer that is not the whole answer.
+// Refusal is the body of a response that does not carry the complete answer.
 type Refusal struct {
 	Outcome      outcome.Outcome `json:"outcome"`
 	Reason       outcome.Reason  `json:"reason"`
@@ -58,7 +58,7 @@
 	return RanUnknown
 }
 
-// statusCode is the HTTP status of a refusal.
+// statusCode returns the HTTP status code of a refusal.
 func statusCode(status outcome.Status) int {
 	if status.Reason == outcome.ReasonDeadlinePassed {
 		return fasthttp.StatusGatewayTimeout
@@ -99,7 +99,7 @@
 		ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, "Bearer")
 	}
 	if status.RetryAfter > 0 {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(wholeSeconds(status.RetryAfter), 10))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(ceilSeconds(status.RetryAfter), 10))
 	}
 	ctx.SetBody(refusalBody(id, status))
 }
@@ -115,12 +115,12 @@
 	return body
 }
 
-// wholeSeconds rounds up, since Retry-After knows no fractions.
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds rounds up, since Retry-After takes whole seconds only.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// unreadableStatus turns an error of reading a request into a refusal.
+// unreadableStatus returns the refusal for an error of reading a request.
 func unreadableStatus(err error) (int, outcome.Status) {
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
--- a/internal/callers/refusal_test.go
+++ b/internal/callers/refusal_test.go
@@ -20,9 +20,9 @@
 	big := strings.Repeat("x", 70<<10)
 	long := `{"model":"m1","messages":[{"content":"` + strings.Repeat("word ", 4000) + `"}]}`
 
-	// Each caller sees a 4xx whose body says "not run", which is true because
-	// the core was never given the request.
-	DescribeTable("with a clear status and not run",
+	// Each caller receives a 4xx whose body says "not run", which is true because
+	// the request was not submitted to the core.
+	DescribeTable("with a specific status and not run",
 		func(path, body string, header map[string]string, code int, reason outcome.Reason) {
 			n := newNode("", "")
 			resp, data := n.call("POST", path, body, header)
@@ -53,12 +53,12 @@
 		Entry("malformed id", "/v1/completions", chatBody, map[string]string{"X-Request-Id": "zz"}, 400, outcome.ReasonMalformed),
 		Entry("deadline too long", "/v1/completions", chatBody, map[string]string{"X-Deadline-Ms": "60001"}, 400, outcome.ReasonMalformed),
 		Entry("deadline no number", "/v1/completions", chatBody, map[string]string{"X-Deadline-Ms": "soon"}, 400, outcome.ReasonMalformed),
-		Entry("unclear mark", "/v1/completions", chatBody, map[string]string{"X-Idempotent": "maybe"}, 400, outcome.ReasonMalformed),
+		Entry("malformed X-Idempotent", "/v1/completions", chatBody, map[string]string{"X-Idempotent": "maybe"}, 400, outcome.ReasonMalformed),
 	)
 
-	// The caller sees 503 "not run" with the time to come back: the core's ring
-	// is full, so the request was never handed over.
-	It("when the core takes no more", func() {
+	// The caller receives 503 "not run" with a retry delay: the core's ring is full,
+	// so the request was not submitted.
+	It("when the core's ring is full", func() {
 		n := newNode("", "")
 		n.core.full = true
 		resp, data := n.call("POST", "/v1/chat/completions", chatBody, nil)
@@ -68,12 +68,12 @@
 		Expect(n.flights.Stats().Open).To(BeZero())
 	})
 
-	// The caller lost an answer and sends the request again, to an entry that
-	// starts, has stopped, or whose ring is full. Its run may be under way at the
-	// id's owner or its delegate, and nobody was asked: "unknown", so that the
-	// caller asks elsewhere with the same id in place of running it twice. Only a
-	// request that came without id and key cannot have been sent before.
-	DescribeTable("before the core was asked", func(header map[string]string, said string) {
+	// The caller lost an answer and resends the request to an entry that is starting,
+	// has stopped, or whose ring is full. The request may be running at the id's owner
+	// or its delegate, which were not queried. The outcome is "unknown", so that the
+	// caller tries another entry with the same id instead of running it twice. Only a
+	// request without id and key cannot have been sent before.
+	DescribeTable("before it is submitted to the core", func(header map[string]string, said string) {
 		n := newNode("", "")
 		for _, state := range []message.State{message.Starting, message.Stopped} {
 			n.inState(state)
@@ -89,13 +89,13 @@
 		Expect(refusal(data).Ran).To(BeEquivalentTo(said))
 		Expect(all[entry.Submit](n.core)).To(BeEmpty())
 	},
-		Entry("of a first sending", nil, "no"),
-		Entry("of another entry's id", map[string]string{"X-Request-Id": "fedcba9876543210-1.0.x"}, "unknown"),
-		Entry("of an id of its own, which it may have given up", map[string]string{"X-Request-Id": string(prefix) + "x"}, "unknown"),
-		Entry("of a key", map[string]string{"Idempotency-Key": "k"}, "unknown"),
+		Entry("without id and key", nil, "no"),
+		Entry("with another entry's id", map[string]string{"X-Request-Id": "fedcba9876543210-1.0.x"}, "unknown"),
+		Entry("with an id of this entry, which it may have handed over", map[string]string{"X-Request-Id": string(prefix) + "x"}, "unknown"),
+		Entry("with a key", map[string]string{"Idempotency-Key": "k"}, "unknown"),
 	)
 
-	// The caller sees the core's refusal as JSON with a status code, since no
+	// The caller receives the core's refusal as JSON with a status code, since no
 	// byte of an answer has been sent.
 	DescribeTable("what the core refuses", func(status outcome.Status, code int, said string) {
 		n := newNode("", "")
@@ -113,8 +113,8 @@
 		Entry("ran in part", outcome.Partial(outcome.ReasonPreempted, ""), 502, "in_part"),
 	)
 
-	// The second caller sees 400 and none of the first one's answer: both used
-	// the same request id for different bodies.
+	// Both callers use the same request id for different bodies. The second one
+	// receives 400 and nothing of the first one's answer.
 	It("an id that names another request", func() {
 		engine := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("{}") })
 		n := newNode(engine, "")
@@ -127,7 +127,7 @@
 		Expect(all[entry.Submit](n.core)).To(HaveLen(1))
 	})
 
-	// The connection beyond the limit sees a whole HTTP answer, 503 "not run".
+	// A connection beyond the limit receives a complete HTTP response, 503 "not run".
 	It("connections beyond the limit", func() {
 		n := newNode("", "", func(d *document.Document) { d.Limits.Connections = 1 })
 		first, err := net.Dial("tcp", n.address)
--- a/internal/callers/reread.go
+++ b/internal/callers/reread.go
@@ -12,21 +12,21 @@
 	"sycamoretrail/internal/flight"
 )
 
-// notReread answers other methods than GET. A client that keeps POST when it
-// follows 303 to a stream comes here; "no such call, not run" would tell it that
-// its request did not run, when the answer is there to be read.
-func (s *Server) notReread(ctx *fasthttp.RequestCtx) {
+// rereadMethodNotAllowed answers methods other than GET. Some clients keep POST when
+// they follow a 303 to a stream. The refusal of an unknown path says "not run", which
+// would be false for them: the request ran, and its answer can be read.
+func (s *Server) rereadMethodNotAllowed(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(fasthttp.HeaderAllow, fasthttp.MethodGet)
 	s.refuse(ctx, fasthttp.StatusMethodNotAllowed, "",
 		outcome.Undetermined(outcome.ReasonMalformed, "streams are read with GET; nothing was run by this call"))
 }
 
-// reread answers /v1/streams/{token}: the answer again from a chunk on, at any
-// entry. Here "not run" is never said, since the request itself may have run.
+// reread handles /v1/streams/{token}: at any entry, it sends an answer again from a
+// given chunk on. It never answers "not run", since the request may have run.
 func (s *Server) reread(ctx *fasthttp.RequestCtx) {
 	c, err := s.identify(ctx)
 	if err != nil {
-		s.rereadRefused(ctx, err)
+		s.refuseReread(ctx, err)
 		return
 	}
 	text, _ := ctx.UserValue("token").(string)
@@ -53,17 +53,16 @@
 	s.attach(c, token, from)
 }
 
-// rereadRefused turns a refusal of identify into one that claims nothing about
-// the request.
-func (s *Server) rereadRefused(ctx *fasthttp.RequestCtx, err error) {
+// refuseReread refuses with an error of identify, with the outcome set to unknown.
+func (s *Server) refuseReread(ctx *fasthttp.RequestCtx, err error) {
 	status := statusOf(err)
 	code := statusCode(status)
 	status.Outcome = outcome.Unknown
 	s.refuse(ctx, code, "", status)
 }
 
-// attach follows the stream: its flight, when this entry has it, else at its
-// target. A flight in doubt knows less than the target may.
+// attach sends the stream from its flight, if this entry has one, else from its
+// target. The target may hold more than a flight in doubt.
 func (s *Server) attach(c *call, token streamToken, from int) {
 	f := s.cfg.Flights.Get(token.ID)
 	remote := f == nil || f.Organisation != token.Organisation || f.InDoubt()
@@ -72,17 +71,17 @@
 			return
 		}
 	}
-	s.answering.begin(c.ctx.Conn())
+	s.pending.begin(c.ctx.Conn())
 	f.Enter()
 	now := s.cfg.Now()
 	longest := document.Milliseconds(c.view.Document.Limits.DeadlineMS)
-	w := &waiting{s: s, ctx: c.ctx, f: f, stream: true, began: now, from: from, reread: true, remote: remote,
+	w := &waiter{s: s, ctx: c.ctx, f: f, stream: true, began: now, from: from, reread: true, remote: remote,
 		until: now.Add(longest).Add(s.cfg.Grace)}
 	w.answer()
 }
 
-// remote readies the flight of a stream that another entry dispatched; nil when
-// the caller has been refused.
+// remote returns the flight of a stream that another entry dispatched, or nil if it
+// has refused the caller.
 func (s *Server) remote(c *call, token streamToken) *flight.Flight {
 	target := c.ix.targets[token.Target]
 	if target == nil {
@@ -91,7 +90,7 @@
 		return nil
 	}
 	limit := c.view.Document.Limits.StreamBytes
-	if failed := s.cfg.Rereads.Get(token.ID); failed != nil && lost(failed.Answer.Ended()) {
+	if failed := s.cfg.Rereads.Get(token.ID); failed != nil && incomplete(failed.Answer.Ended()) {
 		s.cfg.Rereads.Drop(failed)
 	}
 	f, added := s.cfg.Rereads.Put(flight.New(&flight.Flight{
@@ -109,8 +108,8 @@
 	return f
 }
 
-// lost reports whether a reading has ended without the whole answer; the next
-// caller's reading starts anew, since the target may hold the stream still.
-func lost(end *flight.End) bool {
+// incomplete reports whether reading a stream ended without the complete answer. The
+// next caller's read starts over, since the target may still hold the stream.
+func incomplete(end *flight.End) bool {
 	return end != nil && end.Status.Outcome != outcome.Answered
 }
--- a/internal/callers/service.go
+++ b/internal/callers/service.go
@@ -10,7 +10,7 @@
 	"sycamoretrail/internal/flight"
 )
 
-// service passes a call of a plain service whole to a target of its pool.
+// service forwards a call of a plain service to a target of its pool.
 func (s *Server) service(ctx *fasthttp.RequestCtx) {
 	c, err := s.identify(ctx)
 	if err != nil {
@@ -39,9 +39,9 @@
 		return req, nil, err
 	}
 	req.Fingerprint = serviceFingerprint(c.org.name, name, method, path, body)
-	// The header may only make a call stricter: what the document says may not
-	// be repeated stays so, whatever a caller believes.
-	mark, err := c.idempotentMark(true)
+	// The header can only restrict: a method that the document does not list as
+	// repeatable is never repeated.
+	mark, err := c.idempotentHeader(true)
 	if err != nil {
 		return req, nil, err
 	}
@@ -51,7 +51,8 @@
 	return req, s.newFlight(c, &req, path, false, body), nil
 }
 
-// servicePath is what follows the service's name, with the query, as it came.
+// servicePath returns the part of the URI after the service's name, with the query,
+// unchanged.
 func servicePath(uri []byte) string {
 	rest := uri[len("/v1/services/"):]
 	end := bytes.IndexAny(rest, "/?")
@@ -64,27 +65,27 @@
 	return string(rest[end:])
 }
 
-// ownFields are fields of a caller's request that are not passed on: they
-// belong to the connection or to this system. The caller's key stays here.
-var ownFields = map[string]bool{
+// fieldsNotForwarded are header fields that belong to the connection or to this
+// system, among them the caller's bearer token.
+var fieldsNotForwarded = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Content-Length": true, "Te": true,
 	"Trailer": true, "Upgrade": true, "Proxy-Connection": true, "Proxy-Authorization": true, "Expect": true,
 	"Host": true, fasthttp.HeaderAuthorization: true, headerRequestID: true, headerTier: true,
 	headerDeadline: true, headerFirstToken: true, headerIdempotent: true, "Accept-Encoding": true,
 }
 
-// passedOn copies the fields that go to the target.
-func passedOn(header *fasthttp.RequestHeader) []flight.Field {
+// forwardedFields copies the header fields that are forwarded to the target.
+func forwardedFields(header *fasthttp.RequestHeader) []flight.Field {
 	var fields []flight.Field
 	for name, value := range header.All() {
-		if !ownFields[string(name)] {
+		if !fieldsNotForwarded[string(name)] {
 			fields = append(fields, flight.Field{Name: string(name), Value: string(value)})
 		}
 	}
 	return fields
 }
 
-// serviceFingerprint tells calls apart by method and path, too.
+// serviceFingerprint is a fingerprint that includes the method and the path.
 func serviceFingerprint(organisation, service, method, path string, body []byte) request.Fingerprint {
 	return fingerprint(organisation, service, []byte(method+" "+path+"\n"), body)
 }
--- a/internal/callers/streams_test.go
+++ b/internal/callers/streams_test.go
@@ -21,9 +21,9 @@
 )
 
 var _ = Describe("many streams", func() {
-	// Every caller gets each chunk of its answer. A thousand answers stand open
-	// at once, since the engine sends the rest only after all have begun.
-	It("lose no chunk, and keep to their memory", func() {
+	// Every caller receives each chunk of its answer. A thousand answers are open at
+	// once, since the engine sends the rest only after all have begun.
+	It("lose no chunk and stay within their memory limit", func() {
 		release := make(chan struct{})
 		var open atomic.Int32
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
@@ -65,12 +65,12 @@
 		close(release)
 		all.Wait()
 		Expect(whole.Load()).To(Equal(int32(manyStreams)))
-		// The last byte reaches a caller before its flight is counted out.
+		// The last byte reaches a caller before its flight is counted as ended.
 		Eventually(func() int { return n.flights.Stats().Open }).Should(BeZero())
 	})
 })
 
-// heap is the memory in use by heap and stacks after a collection.
+// heap returns the bytes in use by heap and stacks after a collection.
 func heap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/callers/token.go
+++ b/internal/callers/token.go
@@ -13,8 +13,8 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// streamToken names a stream to any entry; whoever holds it, and the key of the
-// same organisation, may read the stream.
+// streamToken identifies a stream at any entry. A caller that has the token and a
+// bearer token of the same organisation may read the stream.
 type streamToken struct {
 	Target       string          `cbor:"1,keyasint"`
 	ID           ident.RequestID `cbor:"2,keyasint"`
@@ -32,7 +32,7 @@
 	errTokenExpired = errors.New("the stream token has expired")
 )
 
-// sign forms the text of a token: base64url of its CBOR and an HMAC-SHA256.
+// sign returns the text of a token: base64url of its CBOR and an HMAC-SHA256.
 func (t streamToken) sign(key []byte) string {
 	data, err := cbor.Marshal(t)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return false
 }
 
-// readToken checks a token's signature, by one of the keys, before it looks at
-// anything else.
+// readToken verifies a token's signature against the keys before it decodes the
+// token.
 func readToken(text string, keys [][]byte, now time.Time) (streamToken, error) {
 	var t streamToken
 	if len(text) > maxTokenLength {
--- a/internal/callers/token_test.go
+++ b/internal/callers/token_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FuzzReadToken gives any text as a token. None but the signed one may pass, and
-// none may panic: tokens come from callers.
+// FuzzReadToken reads arbitrary texts as tokens. Only the signed one may be accepted,
+// and none may cause a panic, since tokens come from callers.
 func FuzzReadToken(f *testing.F) {
 	key := []byte("k")
 	now := time.Unix(1000, 0)
@@ -43,8 +43,8 @@
 }
 
 // The shared key is changed entry by entry. A token that was signed before the
-// change must still be read after it, by the accepted key, or callers would lose
-// answers that are there; with the key gone from the settings it is refused.
+// change must still be valid after it by the accepted key, or callers would lose
+// available answers. Without the accepted key it is refused.
 func TestTokenOfAcceptedKey(t *testing.T) {
 	now := time.Unix(1000, 0)
 	text := streamToken{Target: "t", ID: "a.1.b", Organisation: "o", Expires: 2000}.sign([]byte("old"))
--- a/internal/callers/whole.go
+++ b/internal/callers/whole.go
@@ -22,7 +22,7 @@
 	Detail   string          `json:"detail,omitempty"`
 }
 
-func endMark(end *flight.End) []byte {
+func endEventData(end *flight.End) []byte {
 	mark, err := json.Marshal(endEvent{
 		Outcome: end.Status.Outcome, Reason: end.Status.Reason, Chunks: end.Chunks,
 		Checksum: checksumText(end.Checksum), Detail: end.Status.Detail,
@@ -37,7 +37,7 @@
 
 func checksum(data []byte) uint64 { return xxhash.Sum64(data) }
 
-// chunkJSON is the part of a streamed chunk that a whole answer needs.
+// chunkJSON holds the fields of a streamed chunk that a complete answer needs.
 type chunkJSON struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -60,8 +60,8 @@
 	Content string `json:"content"`
 }
 
-// assemble forms a whole answer from the chunks of a stream, for a caller that
-// asked for a whole answer whose run had to be read as a stream.
+// assemble builds a complete answer from the chunks of a stream, for a caller that
+// asked for a complete answer when the answer had to be read as a stream.
 func assemble(chunks [][]byte) []byte {
 	whole := chunkJSON{}
 	texts := make(map[int]*strings.Builder)
@@ -127,7 +127,7 @@
 	return done
 }
 
-// numberFrom reads the number in a query; absent: 0.
+// numberFrom parses the chunk number of the query's from; it is 0 if absent.
 func numberFrom(text []byte) (int, error) {
 	if len(text) == 0 {
 		return 0, nil
