--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -32,7 +32,7 @@
 	f = existing
 	s.pending.begin(c.ctx.Conn())
 	f.Enter()
-	f.Submitting()
+	f.AddSubmission()
 	if !s.cfg.Core.Submit(entry.Submit{Request: req}) && f.SubmitFailed() {
 		s.cfg.Flights.Remove(f)
 		f.Finish(statusOf(refusedBeforeSubmit(c.ctx, outcome.ReasonEntryFull, "this entry takes no more requests for a moment")))
--- a/internal/callers/referral_test.go
+++ b/internal/callers/referral_test.go
@@ -79,7 +79,7 @@
 	})
 
 	// An organisation sends the id of another organisation's request. It is refused
-	// with answer_not_held and does not receive the answer.
+	// with answer_no_longer_held and does not receive the answer.
 	It("does not receive the answer of another organisation", func() {
 		var calls atomic.Int32
 		n := newNode("", counted(&calls), func(d *document.Document) {
--- a/internal/flight/buffer.go
+++ b/internal/flight/buffer.go
@@ -12,57 +12,59 @@
 const (
 	firstBlockBytes = 1 << 10
 	blockBytes      = 8 << 10
-	// maxHeld bounds chunks that arrived before their predecessors.
+	// maxHeld bounds the number of chunks that arrived before their predecessors.
 	maxHeld = 256
 )
 
 // Field is one header field of a request or an answer.
 type Field struct{ Name, Value string }
 
-// Head is what an answer begins with.
+// Head is the status and the header of an answer.
 type Head struct {
 	Status      int
 	ContentType string
 	Fields      []Field
-	// Events: the chunks are the data of server-sent events; otherwise they are
-	// pieces of a body.
+	// Events is set if the chunks are the data of server-sent events; otherwise
+	// they are pieces of a body.
 	Events bool
 }
 
-// End is the end mark of an answer.
+// End describes the end of an answer.
 type End struct {
 	Status outcome.Status
 	// Chunks counts the chunks of the answer, Checksum is the xxhash64 of their
 	// data in order.
 	Chunks   int
 	Checksum uint64
-	// See: the caller is to read another answer instead; nil: this one.
+	// See refers the caller to another answer; nil if this is the answer.
 	See *Referral
 }
 
-// Appended says what became of a chunk.
+// Appended is the result of appending a chunk.
 type Appended uint8
 
 const (
-	// Taken: the chunk, and any held successors, are readable.
+	// Taken means that the chunk and any held successors are readable.
 	Taken Appended = iota
-	// Duplicate: a chunk of this number is there already; dropped.
+	// Duplicate means that the chunk was dropped, since the buffer has one of this
+	// number already.
 	Duplicate
-	// Held: a chunk before it is missing; readable once that has come.
+	// Held means that an earlier chunk is missing; this one is readable once that
+	// has arrived.
 	Held
-	// Refused: the answer is closed, or too much is held.
+	// Refused means that the answer is closed, or too much is held.
 	Refused
 )
 
-// Progress is what a reader learns with one Read.
+// Progress describes an answer as of one Read.
 type Progress struct {
 	// Next is the number to read from next time.
 	Next int
 	// Head is nil until the answer has begun.
 	Head *Head
-	// End is set once the reader has been given every chunk of a closed answer.
+	// End is set once the reader has received every chunk of a closed answer.
 	End *End
-	// Trimmed: the chunks from the reader's number on are no longer held.
+	// Trimmed is set if the chunks from the reader's number on are no longer held.
 	Trimmed bool
 }
 
@@ -79,11 +81,11 @@
 	digest xxhash.Digest
 	head   *Head
 	end    *End
-	// waiters are readers to wake at the next news; emptied at each wake.
+	// waiters are readers to wake at the next update; emptied at each wake.
 	waiters []*waiter
 }
 
-// waiter is reused through a pool, so that waiting for a chunk allocates nothing.
+// waiter is pooled, so that waiting for a chunk allocates nothing.
 type waiter struct {
 	wake  chan struct{}
 	timer *time.Timer
@@ -101,8 +103,8 @@
 	return b
 }
 
-// Begin sets the head; only the first call counts, and none after the end.
-// Readers learn of it with the first chunk or the end.
+// Begin sets the head; only the first call has an effect, and none after the end.
+// Readers receive it with the first chunk or the end.
 func (b *Buffer) Begin(head Head) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -180,8 +182,8 @@
 	b.bytes += len(data)
 }
 
-// store copies data into shared blocks, so that a token costs no allocation of
-// its own. Blocks are never written twice: readers may keep what they were given.
+// store copies data into shared blocks, which saves an allocation per token. Blocks
+// are never overwritten, so readers may keep the chunks that they received.
 func (b *Buffer) store(data []byte) []byte {
 	if len(data) > blockBytes/2 {
 		return append([]byte(nil), data...)
@@ -211,10 +213,10 @@
 }
 
 // Close ends the answer with its final status and reports whether it did; an
-// answer has one end, so only the first call counts.
+// answer has one end, so only the first call has an effect.
 func (b *Buffer) Close(status outcome.Status) bool { return b.close(End{Status: status}) }
 
-// close ends the answer; the count and the checksum are its own.
+// close ends the answer and fills in the count and the checksum.
 func (b *Buffer) close(end End) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -238,17 +240,17 @@
 	return sum
 }
 
-// Read appends to dst the chunks from the number from on, waiting up to wait
-// for news when there are none. The chunks must not be changed.
+// Read appends to dst the chunks from number from on. If there are none, it waits up
+// to wait for a chunk or the end. The chunks must not be changed.
 func (b *Buffer) Read(dst [][]byte, from int, wait time.Duration) ([][]byte, Progress) {
 	b.mu.Lock()
-	if !b.news(from) && wait > 0 {
+	if !b.hasUpdate(from) && wait > 0 {
 		w := waiters.Get().(*waiter)
 		b.waiters = append(b.waiters, w)
 		b.mu.Unlock()
 		w.await(wait)
 		b.mu.Lock()
-		b.forget(w)
+		b.removeWaiter(w)
 		waiters.Put(w)
 	}
 	defer b.mu.Unlock()
@@ -264,9 +266,9 @@
 	w.timer.Stop()
 }
 
-// forget takes w off the list and empties its channel, so that the next user of
-// w is not woken by this answer.
-func (b *Buffer) forget(w *waiter) {
+// removeWaiter removes w from the list and empties its channel, so that this answer
+// does not wake the next user of w.
+func (b *Buffer) removeWaiter(w *waiter) {
 	for i, other := range b.waiters {
 		if other == w {
 			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
@@ -279,7 +281,7 @@
 	}
 }
 
-func (b *Buffer) news(from int) bool {
+func (b *Buffer) hasUpdate(from int) bool {
 	return b.end != nil || from < b.base+len(b.chunks)
 }
 
@@ -309,14 +311,14 @@
 	b.waiters = b.waiters[:0]
 }
 
-// Next is the number of the first chunk that has not come yet.
+// Next returns the number of the first chunk that has not arrived yet.
 func (b *Buffer) Next() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.base + len(b.chunks)
 }
 
-// Ended returns the end mark, or nil while the answer is open.
+// Ended returns the end, or nil while the answer is open.
 func (b *Buffer) Ended() *End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -1,6 +1,6 @@
-// Package flight holds the requests in flight at the edges of one entry: what
-// is to be sent to a target, and the answer as it arrives, for any number of
-// readers. The core knows a request only by its id; the bytes live here.
+// Package flight holds the requests in flight at the edges of one entry: the
+// request to send to a target, and the answer as it arrives, for any number of
+// readers. The core refers to a request by its id only; the bytes are held here.
 package flight
 
 import (
@@ -22,13 +22,13 @@
 	Kind         request.Kind
 	// Method and Path (with query) are those of the target's interface.
 	Method, Path string
-	// Header is passed on to the target, besides what the edge sets itself.
+	// Header is forwarded to the target, in addition to the fields that the edge sets.
 	Header []Field
-	// Stream: the caller asked for server-sent events.
+	// Stream is set if the caller asked for server-sent events.
 	Stream bool
-	// PromptTokens is the estimate that the core was given.
+	// PromptTokens is the estimate that was submitted to the core.
 	PromptTokens int
-	// MaxAnswer bounds a whole answer, in bytes.
+	// MaxAnswer bounds a complete answer, in bytes.
 	MaxAnswer int
 
 	// Answer is set by New.
@@ -39,12 +39,12 @@
 	readers   atomic.Int32
 	following atomic.Bool
 
-	mu      sync.Mutex
-	submits int
-	joins   int
-	done    bool
-	home    *Registry
-	ended   time.Time
+	mu       sync.Mutex
+	submits  int
+	joins    int
+	done     bool
+	registry *Registry
+	ended    time.Time
 }
 
 // Finish closes the flight's answer with its final status; its registry keeps it
@@ -60,22 +60,23 @@
 	}
 	f.body.Store(nil)
 	f.mu.Lock()
-	home := f.home
+	registry := f.registry
 	f.mu.Unlock()
-	if home != nil {
-		home.retain(f)
+	if registry != nil {
+		registry.retain(f)
 	}
 	return true
 }
 
-// InDoubt reports whether the flight ended without a word on its request, which
-// the core may know by now.
+// InDoubt reports whether the flight ended with an unknown outcome; the core may be
+// able to determine the outcome by now.
 //
-// Failure: the entry that owns an id could not be reached, and its caller, told
-// "unknown", sends the id again. Symptom, were the flight kept: the old "unknown"
-// for as long as answers are retained, and the owner is never asked again. Such
-// a flight is put aside, so that the core decides anew; its table of ids lets
-// nothing run twice, and repeats its word on an id of its own.
+// After the owner of an id could not be reached, the caller received "unknown" and
+// may resend the id. If the flight were kept, the caller would receive the same
+// "unknown" for as long as answers are retained, and the owner would never be queried
+// again. Put therefore replaces such a flight, so that the core decides again. The
+// core's table of ids prevents a second run, and repeats the outcome of an id that
+// this entry owns.
 func (f *Flight) InDoubt() bool {
 	end := f.Answer.Ended()
 	return end != nil && end.See == nil && end.Status.Outcome == outcome.Unknown
@@ -84,18 +85,18 @@
 // Target is where a request was dispatched.
 type Target struct {
 	Name, Address string
-	// Stream is the request id under which the target knows the stream.
+	// Stream is the request id under which the target holds the stream.
 	Stream ident.RequestID
 }
 
-// New readies a flight whose answer may hold up to answerBytes for re-reading.
+// New initialises a flight whose answer may hold up to answerBytes for re-reading.
 func New(f *Flight, body []byte, answerBytes int) *Flight {
 	f.Answer = newBuffer(answerBytes)
 	f.body.Store(&body)
 	return f
 }
 
-// Body is the request's body; nil once the flight has ended.
+// Body returns the request's body; nil once the flight has ended.
 func (f *Flight) Body() []byte {
 	if body := f.body.Load(); body != nil {
 		return *body
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// SetTarget notes where the request was dispatched, and under which id.
+// SetTarget records where the request was dispatched, and under which id.
 func (f *Flight) SetTarget(t Target) { f.target.Store(&t) }
 
-// Target is where it was dispatched last; false before that.
+// Target returns where the request was last dispatched; false if it was not.
 func (f *Flight) Target() (Target, bool) {
 	if t := f.target.Load(); t != nil {
 		return *t, true
@@ -114,28 +115,28 @@
 	return Target{}, false
 }
 
-// Enter counts a reader in.
+// Enter adds a reader.
 func (f *Flight) Enter() { f.readers.Add(1) }
 
-// Leave counts a reader out and reports whether nobody is left to read an
-// answer that is still open.
+// Leave removes a reader and reports whether an answer that is still open has no
+// reader left.
 func (f *Flight) Leave() bool {
 	return f.readers.Add(-1) == 0 && f.Answer.Ended() == nil
 }
 
-// Follow reports whether the caller is the one to follow the stream at its
-// target; false when somebody does already.
+// Follow reports whether the calling goroutine must follow the stream at its
+// target; it returns false if another one does already.
 func (f *Flight) Follow() bool { return f.following.CompareAndSwap(false, true) }
 
-// Submitting counts a submission to the core; called before it is made.
-func (f *Flight) Submitting() {
+// AddSubmission counts a submission to the core; it is called before the submission.
+func (f *Flight) AddSubmission() {
 	f.mu.Lock()
 	f.submits++
 	f.mu.Unlock()
 }
 
-// SubmitFailed takes back a Submitting whose submission the core did not get.
-// It reports whether the core was given no submission at all.
+// SubmitFailed reverts AddSubmission for a submission that the core did not accept.
+// It reports whether the core has accepted no submission of this flight at all.
 func (f *Flight) SubmitFailed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,18 +144,18 @@
 	return f.submits == 0
 }
 
-// joined counts an answer "joins what stands here" of the core and reports
-// whether every submission of this flight got that answer: then the run that it
-// should join belongs to a former flight, whose answer is no longer held.
-func (f *Flight) joined() bool {
+// countJoin counts a decision of the core to join the existing run of the same id,
+// and reports whether every submission of this flight got that decision. If so, the
+// run belongs to an earlier flight, whose answer is no longer held.
+func (f *Flight) countJoin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.joins++
 	return f.joins >= f.submits
 }
 
-// noAnswer is the status of a request that ran under this id when its answer
-// has been dropped since.
-func noAnswer() outcome.Status {
+// answerNotHeld returns the status of a request that ran under this id and whose
+// answer has been dropped since.
+func answerNotHeld() outcome.Status {
 	return outcome.Undetermined(outcome.ReasonAnswerNotHeld, "the request ran here earlier; its answer is no longer held")
 }
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -20,9 +20,10 @@
 	RunSpecs(t, "flight")
 }
 
-// TestAnyOrder gives the chunks of one answer in any order with any repetition
-// that the bound on held chunks allows; every reader gets them once, in order.
-func TestAnyOrder(t *testing.T) {
+// TestBufferAcceptsChunksInAnyOrder appends the chunks of one answer in any order with
+// any repetition that the bound on held chunks allows; every reader receives them once,
+// in order.
+func TestBufferAcceptsChunksInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "count")
 		order := rapid.Permutation(numbers(count)).Draw(t, "order")
@@ -60,7 +61,7 @@
 func chunk(i int) []byte { return fmt.Appendf(nil, "chunk %d;", i) }
 
 var _ = Describe("Buffer", func() {
-	It("says what became of a chunk", func() {
+	It("returns the result of appending a chunk", func() {
 		b := newBuffer(100)
 		Expect(b.Append(0, []byte("a"))).To(Equal(Taken))
 		Expect(b.Append(0, []byte("a"))).To(Equal(Duplicate))
@@ -74,9 +75,9 @@
 		Expect(b.Ended().Status).To(Equal(outcome.Complete()))
 	})
 
-	// A reader that is too slow is told so; it never gets an answer with a hole.
-	// The buffer's limit drops the oldest chunks while the reader is elsewhere.
-	It("tells a reader whose chunks were dropped", func() {
+	// The buffer drops its oldest chunks beyond the limit. A reader that is too slow
+	// is notified; it never receives an answer with a gap.
+	It("notifies a reader whose chunks were dropped", func() {
 		b := newBuffer(10)
 		for i := range 5 {
 			b.Append(i, []byte("12345"))
@@ -110,7 +111,7 @@
 		}
 	})
 
-	It("gives up waiting when the time is over", func() {
+	It("stops waiting when the wait time is over", func() {
 		chunks, p := newBuffer(10).Read(nil, 0, time.Millisecond)
 		Expect(chunks).To(BeEmpty())
 		Expect(p.End).To(BeNil())
@@ -138,7 +139,7 @@
 		Expect(added).To(BeFalse())
 	})
 
-	It("returns the flight that stands", func() {
+	It("returns the existing flight of the same id", func() {
 		f := add("a")
 		again, added := r.Put(New(&Flight{ID: "a"}, nil, 1000))
 		Expect(added).To(BeFalse())
@@ -158,27 +159,27 @@
 		Expect(r.Get("d")).To(BeNil())
 	})
 
-	// The caller is told "unknown" instead of waiting for ever. Its request ran
-	// here, the answer was dropped, and the core can only say "join".
-	It("ends a join whose run's answer is gone", func() {
+	// The request ran at this entry, its answer was dropped, and the core decides to
+	// join. The caller must receive "unknown" instead of waiting forever.
+	It("ends a join whose run's answer has been dropped", func() {
 		f := add("a")
-		f.Submitting()
+		f.AddSubmission()
 		r.Join(entry.Join{ID: "a", Of: "a"})
 		Expect(f.Answer.Ended().Status.Reason).To(Equal(outcome.ReasonAnswerNotHeld))
 	})
 
-	It("leaves a join of a standing run alone", func() {
+	It("keeps a join of a current run open", func() {
 		f := add("a")
-		f.Submitting()
-		f.Submitting()
+		f.AddSubmission()
+		f.AddSubmission()
 		r.Join(entry.Join{ID: "a", Of: "a"})
 		Expect(f.Answer.Ended()).To(BeNil())
 	})
 
-	// The caller was told "unknown", since the owner of its id could not be
-	// reached, and sends the id again. The old word would keep it from learning
-	// what became of its request; a flight of its own has the core ask again.
-	It("puts a flight aside that ended in doubt", func() {
+	// The caller received "unknown", since the owner of its id could not be reached,
+	// and resends the id. If it got the earlier outcome again, it would never receive
+	// the real one; a new flight makes the core query the owner again.
+	It("replaces a flight that ended in doubt", func() {
 		undetermined := add("a")
 		undetermined.Finish(outcome.Undetermined(outcome.ReasonOwnerUnreachable, ""))
 		again := add("a")
@@ -190,12 +191,12 @@
 		Expect(r.Get("a")).To(BeIdenticalTo(again))
 	})
 
-	DescribeTable("keeps a flight with a word on its request", func(end func(*Flight)) {
+	DescribeTable("keeps a flight with a known outcome", func(end func(*Flight)) {
 		f := add("a")
 		end(f)
-		standing, added := r.Put(New(&Flight{ID: "a"}, nil, 1000))
+		existing, added := r.Put(New(&Flight{ID: "a"}, nil, 1000))
 		Expect(added).To(BeFalse())
-		Expect(standing).To(BeIdenticalTo(f))
+		Expect(existing).To(BeIdenticalTo(f))
 	},
 		Entry("answered", func(f *Flight) { f.Finish(outcome.Complete()) }),
 		Entry("not run", func(f *Flight) { f.Finish(outcome.Refused(outcome.ReasonOverload, 0, "")) }),
@@ -203,7 +204,7 @@
 		Entry("referred", func(f *Flight) { f.refer(Referral{ID: "b"}) }),
 	)
 
-	It("knows when the last reader of an open answer leaves", func() {
+	It("reports when the last reader of an open answer leaves", func() {
 		f := add("a")
 		f.Enter()
 		f.Enter()
@@ -215,7 +216,7 @@
 	})
 })
 
-// BenchmarkAppend is the cost of a token between target and reader.
+// BenchmarkAppend measures passing one token from a target to a reader.
 func BenchmarkAppend(b *testing.B) {
 	data := make([]byte, 160)
 	b.ReportAllocs()
--- a/internal/flight/registry.go
+++ b/internal/flight/registry.go
@@ -12,16 +12,16 @@
 type Config struct {
 	// MaxOpen bounds flights that have not ended.
 	MaxOpen int
-	// Retain is how long an ended flight stays for re-reading, RetainBytes how
-	// much memory the answers of ended flights may take together.
+	// Retain is how long an ended flight is kept for re-reading, RetainBytes the
+	// total memory that answers of ended flights may take.
 	Retain      time.Duration
 	RetainBytes int
 	// Now is the clock; time.Now when nil.
 	Now func() time.Time
 }
 
-// endedOverhead is what an ended flight counts beside its answer, so that many
-// empty answers are bounded too.
+// endedOverhead is added to the size of an ended flight's answer, in bytes, so that
+// the number of empty answers is bounded too.
 const endedOverhead = 1 << 10
 
 // Registry finds the flights of one entry by request id. It is safe for
@@ -42,7 +42,7 @@
 	bytes  int
 }
 
-// NewRegistry forms an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry(cfg Config) *Registry {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -50,10 +50,9 @@
 	return &Registry{cfg: cfg, flights: make(map[ident.RequestID]*Flight)}
 }
 
-// Put adds a flight, or returns the one of the same id that stands here. It
-// returns nil when the registry is full. A flight that ended in doubt gives way:
-// see InDoubt.
-func (r *Registry) Put(f *Flight) (standing *Flight, added bool) {
+// Put adds a flight, or returns the existing one of the same id. It returns nil when
+// the registry is full. It replaces a flight that ended in doubt; see InDoubt.
+func (r *Registry) Put(f *Flight) (existing *Flight, added bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep()
@@ -64,21 +63,21 @@
 		return nil, false
 	}
 	f.mu.Lock()
-	f.home = r
+	f.registry = r
 	f.mu.Unlock()
 	r.flights[f.ID] = f
 	r.open++
 	return f, true
 }
 
-// Get finds a flight; nil when it is not held.
+// Get returns a flight, or nil if none is held under the id.
 func (r *Registry) Get(id ident.RequestID) *Flight {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.flights[id]
 }
 
-// Remove forgets a flight that the core never got.
+// Remove removes a flight that was never submitted to the core.
 func (r *Registry) Remove(f *Flight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +88,7 @@
 	r.open--
 }
 
-// retain moves a flight that ended to those kept for re-reading.
+// retain moves an ended flight to those kept for re-reading.
 func (r *Registry) retain(f *Flight) {
 	bytes := f.Answer.size() + endedOverhead
 	r.mu.Lock()
@@ -105,7 +104,7 @@
 	r.sweep()
 }
 
-// Drop forgets an ended flight before its time.
+// Drop removes an ended flight before its retention ends.
 func (r *Registry) Drop(f *Flight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +113,7 @@
 	}
 }
 
-// sweep drops ended flights that are too old or too many bytes.
+// sweep drops ended flights beyond the retention time or memory.
 func (r *Registry) sweep() {
 	oldest := r.cfg.Now().Add(-r.cfg.Retain)
 	drop := 0
@@ -133,24 +132,24 @@
 	r.ended = r.ended[drop:]
 }
 
-// Sweep drops ended flights whose time is over; called now and then, so that an
-// idle entry frees them too.
+// Sweep drops ended flights whose retention is over. It is called periodically, so
+// that an idle entry frees them too.
 func (r *Registry) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sweep()
 }
 
-// Settle gives a flight its final status, as the core decided it.
+// Settle ends a flight with the final status that the core decided.
 func (r *Registry) Settle(s entry.Settle) {
 	if f := r.Get(s.ID); f != nil {
 		f.Finish(s.Status)
 	}
 }
 
-// Join carries out the core's decision that a submission joins the run of the
-// same id here. The reader follows that run's flight already, unless its answer
-// was dropped in the meantime.
+// Join carries out the core's decision that a submission joins another run at this
+// entry. For a run of the same id, the reader follows its flight already, unless the
+// answer has been dropped.
 func (r *Registry) Join(j entry.Join) {
 	f := r.Get(j.ID)
 	if f == nil {
@@ -160,8 +159,8 @@
 		r.joinOther(f, j.Of)
 		return
 	}
-	if f.joined() {
-		f.Finish(noAnswer())
+	if f.countJoin() {
+		f.Finish(answerNotHeld())
 	}
 }
 
@@ -170,7 +169,7 @@
 	Open, Ended, EndedBytes int
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (r *Registry) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
