--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -64,7 +64,7 @@
 func (t *TLS) check(faults *Faults) {
 	_, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
 	if err != nil {
-		faults.add("tls.cert_file", fmt.Sprintf("certificate and key do not load: %v", err), "name PEM files of a certificate and its key in cert_file and key_file")
+		faults.add("tls.cert_file", fmt.Sprintf("certificate and key cannot be loaded: %v", err), "name PEM files of a certificate and its key in cert_file and key_file")
 	}
 	if _, err := t.pool(); err != nil {
 		faults.add("tls.ca_file", err.Error(), "name a PEM file with the CA that signed the entries' certificates")
@@ -74,17 +74,18 @@
 func (t *TLS) pool() (*x509.CertPool, error) {
 	data, err := os.ReadFile(t.CAFile)
 	if err != nil {
-		return nil, fmt.Errorf("does not load: %w", err)
+		return nil, fmt.Errorf("cannot be read: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("%s holds no certificate", t.CAFile)
+		return nil, fmt.Errorf("%s contains no certificate", t.CAFile)
 	}
 	return pool, nil
 }
 
-// Config forms the TLS settings of both ends of a link; nil for plain TCP. Both
-// ends must show a certificate, so a stranger is turned away before the hello.
+// Config returns the TLS configuration of both ends of a link; nil for plain TCP.
+// Both ends must present a certificate, so that a process without one is rejected
+// before the hello.
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -115,20 +116,20 @@
 func checkAddress(path, address string, faults *Faults) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
-		faults.add(path, fmt.Sprintf("%q is not IP:port", address), "write an IP number and a port, such as \"10.0.0.1:7000\"")
+		faults.add(path, fmt.Sprintf("%q is not IP:port", address), "write an IP address and a port, such as \"10.0.0.1:7000\"")
 		return false
 	}
 	return true
 }
 
-// checkOwnAddress also refuses 0.0.0.0 and [::]: others are told this address
-// and could not connect to it.
+// checkOwnAddress also rejects 0.0.0.0 and [::]: the address is announced to other
+// processes, which could not connect to it.
 func checkOwnAddress(path, address string, faults *Faults) {
 	if !checkAddress(path, address, faults) {
 		return
 	}
 	if netip.MustParseAddrPort(address).Addr().IsUnspecified() {
-		faults.add(path, fmt.Sprintf("%q names no single address", address), "write the IP number under which others reach this instance")
+		faults.add(path, fmt.Sprintf("%q is not a single address", address), "write the IP address at which others reach this instance")
 	}
 }
 
@@ -166,7 +167,7 @@
 	}
 }
 
-// secret returns the value given in the settings or in the named file.
+// secret returns the value that the settings or the named file contain.
 func secret(path, value, filePath, file string, faults *Faults) string {
 	if (value == "") == (file == "") {
 		faults.add(path, fmt.Sprintf("give exactly one of %s and %s", path, filePath), "remove one or add one")
@@ -220,6 +221,6 @@
 
 func checkOneOf(path, value string, allowed []string, faults *Faults) {
 	if !slices.Contains(allowed, value) {
-		faults.add(path, fmt.Sprintf("%q is not known", value), "write one of "+strings.Join(allowed, ", "))
+		faults.add(path, fmt.Sprintf("%q is not a valid value", value), "write one of "+strings.Join(allowed, ", "))
 	}
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// decodeStrict reads data into target and records every unknown field and wrong
-// type, not only the first, which is all that encoding/json reports. It returns
-// false where the rest cannot be checked.
+// decodeStrict decodes data into target and records every unknown field and wrong
+// type; encoding/json would report the first only. It returns false if the values
+// cannot be checked further.
 func decodeStrict(data []byte, target any, faults *Faults) bool {
 	var tree any
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -21,7 +21,7 @@
 		return false
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		faults.add("(file)", "there is more after the JSON object", "write one JSON object and nothing after it")
+		faults.add("(file)", "has data after the JSON object", "write one JSON object and nothing after it")
 		return false
 	}
 	if _, object := tree.(map[string]any); !object {
@@ -37,7 +37,7 @@
 	return err == nil
 }
 
-// compare walks a JSON tree beside the type that it must fit.
+// compare checks a JSON tree against the Go type that it must fit.
 func compare(path string, value any, t reflect.Type, faults *Faults) {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -80,7 +80,7 @@
 		at := join(path, name)
 		field, known := fields[name]
 		if !known {
-			faults.add(at, "unknown field", "remove it or correct its name; known here: "+strings.Join(fieldNames(t), ", "))
+			faults.add(at, "unknown field", "remove it or correct its name; the known fields are "+strings.Join(fieldNames(t), ", "))
 			continue
 		}
 		compare(at, object[name], field.Type, faults)
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -1,5 +1,5 @@
-// Package settings reads the static settings of each program: what a process
-// must know before it can reach the log. All else comes from the document that
+// Package settings reads the static settings of each program, which a process needs
+// before it can reach the log. All other configuration comes from the document that
 // operators publish. A file is read strictly and every fault is listed at once.
 package settings
 
@@ -10,21 +10,21 @@
 	// Zone is the availability zone that the process runs in.
 	Zone string `json:"zone"`
 	// CallersAddress (IP:port) is where callers connect, PeersAddress where other
-	// entries do, OperatorsAddress where the console and sycamorectl do. Each is
-	// listened on and told to others, so it names one address of this instance.
+	// entries do, OperatorsAddress where the console and sycamorectl do. The process
+	// listens on each and announces it, so it must be an address of this instance.
 	CallersAddress   string `json:"callers_address"`
 	PeersAddress     string `json:"peers_address"`
 	OperatorsAddress string `json:"operators_address"`
 	// Platform says where the log and the instance list are.
 	Platform Platform `json:"platform"`
-	// Peers are peer addresses to begin with; the instance list adds others.
+	// Peers are the initial peer addresses; the instance list adds others.
 	Peers []string `json:"peers"`
 	// SharedKey authenticates entries to each other and signs stream tokens.
-	// Either it or SharedKeyFile is given; each entry has the same.
+	// Exactly one of SharedKey and SharedKeyFile is set; all entries have the same key.
 	SharedKey     string `json:"shared_key"`
 	SharedKeyFile string `json:"shared_key_file"`
 	// AcceptedKey is a second shared key that other entries may use while the key
-	// is changed; it or AcceptedKeyFile, or neither.
+	// is changed. At most one of AcceptedKey and AcceptedKeyFile is set.
 	AcceptedKey     string `json:"accepted_key"`
 	AcceptedKeyFile string `json:"accepted_key_file"`
 	// OperatorTokenSHA256 is the hex SHA-256 of the operators' bearer token.
@@ -36,19 +36,19 @@
 	// Policy is scheduler, shares or alone; the last two are baselines.
 	Policy string `json:"policy"`
 	// TraceFile records the entry's own traffic for replay: times, sizes, hashes
-	// and tiers, no content. Empty: no recording.
+	// and tiers, no content. If it is empty, nothing is recorded.
 	TraceFile string `json:"trace_file"`
 }
 
-// Platform says where the services that outlive the processes are.
+// Platform locates the services that outlive the processes.
 type Platform struct {
-	// Log lists base URLs of the log; the next is tried when one fails.
+	// Log lists base URLs of the log; if one fails, the next is tried.
 	Log []string `json:"log"`
 	// Instances is the base URL of the instance list.
 	Instances string `json:"instances"`
 }
 
-// TLS names the certificate files of the links between entries. Both ends show
+// TLS names the certificate files of the links between entries. Both ends present
 // a certificate that the CA signed for their IP address.
 type TLS struct {
 	CertFile string `json:"cert_file"`
@@ -62,10 +62,10 @@
 	Address string `json:"address"`
 	// Entries are operators' addresses of entries; the first that answers is used.
 	Entries []string `json:"entries"`
-	// OperatorTokenSHA256 is the hex SHA-256 of the token that logs in. The
-	// console keeps no token; it passes on the one that the operator gave.
+	// OperatorTokenSHA256 is the hex SHA-256 of the operators' bearer token. The
+	// console stores no token; it forwards the one that the operator logged in with.
 	OperatorTokenSHA256 string `json:"operator_token_sha256"`
-	// Log lists base URLs of the log, to show what was published during trouble.
+	// Log lists base URLs of the log, to show what was published when no entry answers.
 	Log []string `json:"log"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level"`
@@ -75,28 +75,28 @@
 type Ctl struct {
 	// Entries are operators' addresses of entries.
 	Entries []string `json:"entries"`
-	// Token is the operators' bearer token; either it or TokenFile is given.
+	// Token is the operators' bearer token; exactly one of Token and TokenFile is set.
 	Token     string `json:"token"`
 	TokenFile string `json:"token_file"`
 	// TimeoutMS bounds one call, in milliseconds.
 	TimeoutMS int `json:"timeout_ms"`
 }
 
-// MinKeyLength is the least length of a shared key, in bytes: as many as the
+// MinKeyLength is the minimum length of a shared key, in bytes: the length of the
 // output of the HMAC that it keys.
 const MinKeyLength = 32
 
-// DefaultEntry is what fields that a file leaves out are.
+// DefaultEntry returns the defaults of fields that a file leaves out.
 func DefaultEntry() Entry {
 	return Entry{LogLevel: "info", Policy: "scheduler"}
 }
 
-// DefaultConsole is what fields that a file leaves out are.
+// DefaultConsole returns the defaults of fields that a file leaves out.
 func DefaultConsole() Console {
 	return Console{Address: "127.0.0.1:8080", LogLevel: "info"}
 }
 
-// DefaultCtl is what fields that a file leaves out are.
+// DefaultCtl returns the defaults of fields that a file leaves out.
 func DefaultCtl() Ctl {
 	return Ctl{TimeoutMS: 15000}
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -9,41 +9,41 @@
 	// Zone is the availability zone that the process runs in.
 	Zone string `json:"zone"`
 	// CallersAddress (IP:port) is where callers send requests, DirectoryAddress
-	// where they ask which entries to use, ReadyAddress where the platform asks
-	// whether this one is ready, MetricsAddress where metrics are read.
+	// where they query which entries to use, ReadyAddress where the platform checks
+	// the readiness of this entry, MetricsAddress where metrics are read.
 	CallersAddress   string `json:"callers_address"`
 	DirectoryAddress string `json:"directory_address"`
 	ReadyAddress     string `json:"ready_address"`
 	MetricsAddress   string `json:"metrics_address"`
-	// LinksAddress (UDP) is where the other entries send to.
+	// LinksAddress (UDP) is where the process receives datagrams of other entries.
 	LinksAddress string `json:"links_address"`
-	// LinksTold is the address that the others are told to send to, where it is not
-	// LinksAddress: behind an address translation.
+	// LinksTold is the address that is announced to other entries. It is set where it
+	// differs from LinksAddress, as behind network address translation.
 	LinksTold string `json:"links_told"`
-	// StoreAddress is where the platform's metadata store is.
+	// StoreAddress is the address of the platform's metadata store.
 	StoreAddress string `json:"store_address"`
-	// MemoryMB is what the process may use.
+	// MemoryMB is the memory limit of the process.
 	MemoryMB int `json:"memory_mb"`
-	// MaxDescriptors is the number of descriptors that the process may open.
+	// MaxDescriptors is the number of file descriptors that the process may open.
 	MaxDescriptors int `json:"max_descriptors"`
-	// Bounds are what the operators have promised to callers.
+	// Bounds are the operators' guarantees to callers.
 	Bounds GatewayBounds `json:"bounds"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level"`
 }
 
-// GatewayBounds are the operators' promises that the process has to keep.
+// GatewayBounds are the operators' guarantees that the process must meet.
 type GatewayBounds struct {
-	// DrainMS is the time from the register's word that a target is leaving to the
-	// last request that it may get.
+	// DrainMS is the time from the announcement that a target is leaving to the last
+	// request that may be sent to it.
 	DrainMS int `json:"drain_ms"`
-	// ConfigurationMS is the time within which a configuration is in force.
+	// ConfigurationMS is the time within which a new configuration must be in force.
 	ConfigurationMS int `json:"configuration_ms"`
-	// GraceS is the time from the order to stop to the kill.
+	// GraceS is the time from the stop signal to the kill.
 	GraceS float64 `json:"grace_s"`
-	// ListLifeS is the longest that callers keep a list of entries.
+	// ListLifeS is the longest time that callers keep a list of entries.
 	ListLifeS float64 `json:"list_life_s"`
-	// RetryRatio, RetryExtra and RetryWindowS are the retry budget over all entries.
+	// RetryRatio, RetryExtra and RetryWindowS define the retry budget of all entries.
 	RetryRatio   float64 `json:"retry_ratio"`
 	RetryExtra   float64 `json:"retry_extra"`
 	RetryWindowS float64 `json:"retry_window_s"`
@@ -52,14 +52,14 @@
 	QuotaWindowS   float64 `json:"quota_window_s"`
 	QuotaOvershoot float64 `json:"quota_overshoot"`
 	QuotaSlack     float64 `json:"quota_slack"`
-	// ExposureShare is the part of a service's requests that a bad new version may get
-	// during its roll-out, RollbackMS the time in which one that has been shown to be bad
-	// has to get nothing any more.
+	// ExposureShare is the part of a service's requests that a bad new version may
+	// receive during its roll-out. RollbackMS is the time from the detection of a bad
+	// version until it must receive no more requests.
 	ExposureShare float64 `json:"exposure_share"`
 	RollbackMS    int     `json:"rollback_ms"`
 }
 
-// DefaultGateway is what fields that a file leaves out are.
+// DefaultGateway returns the defaults of fields that a file leaves out.
 func DefaultGateway() Gateway {
 	return Gateway{
 		MemoryMB: 256, MaxDescriptors: 4096, LogLevel: "info",
@@ -71,10 +71,10 @@
 	}
 }
 
-// Milliseconds turns a setting into a duration.
+// Milliseconds converts a setting to a duration.
 func Milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Seconds turns a setting into a duration.
+// Seconds converts a setting to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func (s *Gateway) check(faults *Faults) {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,7 +10,7 @@
 var ErrRead = errors.New("cannot read settings")
 
 // LoadEntry reads and checks the settings of sycamore-entry. The error is Faults
-// or wraps ErrRead. SharedKey holds the key, also where it came from a file.
+// or wraps ErrRead. SharedKey holds the key even if it was read from SharedKeyFile.
 func LoadEntry(path string) (Entry, error) {
 	return load(path, DefaultEntry(), (*Entry).check)
 }
--- a/internal/settings/pages_test.go
+++ b/internal/settings/pages_test.go
@@ -13,7 +13,7 @@
 
 const settingsPage = "../../docs/SETTINGS.md"
 
-// rows forms what the page must say of a struct: name, type and default.
+// rows returns the rows that the page must have for a struct: name, type and default.
 func rows(prefix string, t reflect.Type, defaults reflect.Value) []string {
 	var found []string
 	for i := range t.NumField() {
@@ -51,7 +51,7 @@
 var rowPattern = regexp.MustCompile("(?m)^(\\| `[a-z0-9_.]+` \\| [^|]+ \\| [^|]+ \\|) ([^|]+) \\|$")
 
 var _ = ginkgo.Describe("docs/SETTINGS.md", func() {
-	ginkgo.It("names each field with its type and default, and no other", func() {
+	ginkgo.It("lists each field with its type and default, and no other", func() {
 		page, err := os.ReadFile(settingsPage)
 		Expect(err).NotTo(HaveOccurred())
 		var want []string
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,7 +25,7 @@
 	return parse([]byte(text), DefaultEntry(), (*Entry).check)
 }
 
-// paths lists what an error names, in its order.
+// paths returns the paths of an error's faults, in order.
 func paths(err error) []string {
 	var faults Faults
 	if !errors.As(err, &faults) {
@@ -41,7 +41,7 @@
 }
 
 var _ = ginkgo.Describe("settings of an entry", func() {
-	ginkgo.It("takes a valid file and fills in what it leaves out", func() {
+	ginkgo.It("accepts a valid file and fills in defaults", func() {
 		s, err := parseEntry(validEntry)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Policy).To(Equal("scheduler"))
@@ -50,9 +50,9 @@
 		Expect(s.Platform.Log).To(Equal([]string{"http://127.0.0.1:9000"}))
 	})
 
-	// An operator starts an entry with a file full of mistakes. Were only the
-	// first told, each start would show one more, and an entry that replaces
-	// another would be away for as many starts as there are mistakes.
+	// If only the first fault were reported, each start would show one more, and an
+	// entry that replaces another would be unavailable for as many starts as the file
+	// has faults.
 	ginkgo.It("lists every fault at once", func() {
 		_, err := parseEntry(`{"name": "", "zone": "a b", "callers_address": "localhost:1", "peers_address": "0.0.0.0:7001",
 			"operators_address": "127.0.0.1:0", "platform": {"log": [], "instances": "nowhere"}, "peers": ["x"],
@@ -63,23 +63,23 @@
 			"tls.cert_file", "tls.ca_file", "log_level", "policy"}))
 	})
 
-	ginkgo.It("refuses unknown fields and wrong types, all of them", func() {
+	ginkgo.It("lists every unknown field and wrong type", func() {
 		_, err := parseEntry(`{"nmae": "x", "name": 3, "platform": {"logs": [], "log": "http://127.0.0.1:1"}, "peers": [1], "tls": null}`)
 		Expect(paths(err)).To(Equal([]string{"name", "nmae", "peers[0]", "platform.log", "platform.logs"}))
 	})
 
-	ginkgo.It("goes on to check values where there are only unknown fields", func() {
+	ginkgo.It("checks values even if there are unknown fields", func() {
 		_, err := parseEntry(strings.Replace(validEntry, `"zone": "ncr-a"`, `"zone": "", "colour": 1`, 1))
 		Expect(paths(err)).To(Equal([]string{"colour", "zone"}))
 	})
 
-	ginkgo.DescribeTable("refuses what is not one JSON object", func(text string) {
+	ginkgo.DescribeTable("rejects a file that is not one JSON object", func(text string) {
 		_, err := parseEntry(text)
 		Expect(paths(err)).To(Equal([]string{"(file)"}))
 	},
-		ginkgo.Entry("empty", ""), ginkgo.Entry("a list", "[]"), ginkgo.Entry("cut off", `{"name":`), ginkgo.Entry("two objects", "{} {}"), ginkgo.Entry("null", "null"))
+		ginkgo.Entry("empty", ""), ginkgo.Entry("a list", "[]"), ginkgo.Entry("truncated object", `{"name":`), ginkgo.Entry("two objects", "{} {}"), ginkgo.Entry("null", "null"))
 
-	ginkgo.It("reads the shared key from a file, and wants only one source", func() {
+	ginkgo.It("reads the shared key from a file, and requires exactly one source", func() {
 		file := filepath.Join(ginkgo.GinkgoT().TempDir(), "key")
 		Expect(os.WriteFile(file, []byte("0123456789abcdef0123456789abcdef\n"), 0o600)).To(Succeed())
 		given := `"shared_key": "0123456789abcdef0123456789abcdef"`
@@ -93,25 +93,25 @@
 		Expect(paths(err)).To(Equal([]string{"shared_key_file"}))
 	})
 
-	ginkgo.It("says which file cannot be read", func() {
+	ginkgo.It("names the file that cannot be read", func() {
 		_, err := LoadEntry(filepath.Join(ginkgo.GinkgoT().TempDir(), "absent.json"))
 		Expect(err).To(MatchError(ErrRead))
 		Expect(err.Error()).To(ContainSubstring("absent.json"))
 	})
 
-	ginkgo.It("refuses two duties on one address", func() {
+	ginkgo.It("rejects two listeners on one address", func() {
 		_, err := parseEntry(strings.ReplaceAll(validEntry, "127.0.0.1:7002", "127.0.0.1:7000"))
 		Expect(paths(err)).To(Equal([]string{"operators_address"}))
 	})
 })
 
 var _ = ginkgo.Describe("settings of the operators' programs", func() {
-	ginkgo.It("checks the console's", func() {
+	ginkgo.It("checks those of the console", func() {
 		_, err := parse([]byte(`{"operator_token_sha256": "1"}`), DefaultConsole(), (*Console).check)
 		Expect(paths(err)).To(Equal([]string{"entries", "operator_token_sha256", "log"}))
 	})
 
-	ginkgo.It("checks the client's", func() {
+	ginkgo.It("checks those of sycamorectl", func() {
 		_, err := parse([]byte(`{"entries": ["127.0.0.1:7002"], "timeout_ms": 0}`), DefaultCtl(), (*Ctl).check)
 		Expect(paths(err)).To(Equal([]string{"token", "timeout_ms"}))
 	})
