--- a/internal/telemetry/bench_test.go
+++ b/internal/telemetry/bench_test.go
@@ -12,12 +12,12 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// organisationsAtScale is the number of organisations of the owner's letter.
+// organisationsAtScale is the number of organisations at full scale.
 const organisationsAtScale = 38_000
 
-// settleAll settles one request of each organisation, ten of them with half of
-// the traffic, in five tiers.
-func settleAll(m *Metrics) {
+// recordAll records as many settled requests as there are organisations, in five
+// tiers; ten organisations have half of the requests.
+func recordAll(m *Metrics) {
 	for i := range organisationsAtScale {
 		name := fmt.Sprintf("organisation-%05d", i)
 		if i%2 == 0 {
@@ -37,14 +37,14 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkOrganisations shows the cost of a settled request, and what the
-// metrics hold after requests of 38,000 organisations.
+// BenchmarkOrganisations measures recording a settled request, and the size of the
+// metrics after requests of 38,000 organisations.
 func BenchmarkOrganisations(b *testing.B) {
 	before := heapInUse()
 	m := NewMetrics("entry-1", "ncr-a")
 	rounds := 0
 	for b.Loop() {
-		settleAll(m)
+		recordAll(m)
 		rounds++
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(rounds*organisationsAtScale), "ns/request")
--- a/internal/telemetry/catalogue.go
+++ b/internal/telemetry/catalogue.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Kind is Prometheus' type of a metric.
+// Kind is the Prometheus type of a metric.
 type Kind string
 
 const (
@@ -9,8 +9,8 @@
 	KindHistogram Kind = "histogram"
 )
 
-// Metric names a metric. On the page its name has the prefix sycamoretrail_ and
-// its labels are joined by rootLabels.
+// Metric declares a metric. At /metrics its name has the prefix sycamoretrail_ and
+// its series also have the rootLabels.
 type Metric struct {
 	Name   string
 	Kind   Kind
@@ -18,7 +18,7 @@
 	Labels []string
 }
 
-// rootLabels stand on each series of an entry.
+// rootLabels are on each series of an entry.
 var rootLabels = []string{"entry", "zone"}
 
 // catalogue lists all metrics in the order of their declaration.
@@ -48,7 +48,7 @@
 		"Requests that ended without a whole answer.", "organisation")
 )
 
-// The entry itself.
+// The state of the entry.
 var (
 	Ready           = declare(KindGauge, "ready", "1 while the entry takes requests, else 0.")
 	DocumentVersion = declare(KindGauge, "document_version", "Version of the document in force here; 0: none.")
@@ -75,7 +75,7 @@
 	PoolFloor      = declare(KindGauge, "floor_tier", "Rank of the lowest tier admitted in the pool, 0 the highest; -1: no floor.", "pool")
 )
 
-// The process itself, and what it exchanges with the platform.
+// Resources of the process, and its traffic with the platform.
 var (
 	ProcessCPU            = declare(KindGauge, "process_cpu_seconds", "Processor time since the start, user and system.")
 	ProcessResident       = declare(KindGauge, "process_resident_bytes", "Memory held, as the system counts it.")
@@ -86,7 +86,7 @@
 	PlatformReceivedBytes = declare(KindGauge, "platform_received_bytes", "Bytes received from it.", "part")
 )
 
-// Links to other entries, counted since the process began.
+// Links to other entries, counted since the start of the process.
 var (
 	PeerLinks            = declare(KindGauge, "peer_links", "Links that stand.")
 	PeerSentBytes        = declare(KindCounter, "peer_sent_bytes", "Bytes of frames sent.")
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -44,41 +44,41 @@
 		"Log lines left out, by importance.", "importance")
 )
 
-// QuotaUsed shows what of an organisation's quota is used and assumed, as parts of it.
+// QuotaUsed sets the parts of an organisation's quota that are used and assumed used.
 func (m *Metrics) QuotaUsed(organisation string, used, assumed float64) {
 	label := m.organisations.label(organisation)
 	m.Set(GatewayQuotaUsed, used, label)
 	m.Set(GatewayQuotaAssumed, assumed, label)
 }
 
-// RoutedRequest is what a request that the gateway ended shows in the metrics.
+// RoutedRequest holds what the metrics record of a request that the gateway ended.
 type RoutedRequest struct {
 	Organisation string
 	// Tier is the request's priority.
 	Tier string
-	// Reason is how it ended; ReasonAnswered for a whole answer.
+	// Reason is the reason of its end; ReasonAnswered for a complete answer.
 	Reason string
-	// First is the time to the first byte of an answer, 0 where none came.
+	// First is the time to the first byte of an answer, or 0 if there was none.
 	First, Total time.Duration
 }
 
-// ReasonAnswered is the reason of requests that got a whole answer.
+// ReasonAnswered is the reason of requests with a complete answer.
 const ReasonAnswered = "answered"
 
-// Routed counts a request: by tier and by organisation apart.
+// Routed records a request, by tier and by organisation separately.
 func (m *Metrics) Routed(r RoutedRequest) {
-	m.tagged(GatewaySettled, r.Reason).Counter(GatewaySettled.Name).Inc(1)
+	m.scopeFor(GatewaySettled, r.Reason).Counter(GatewaySettled.Name).Inc(1)
 	m.group(m.tiers.label(r.Tier), TierAnswer, TierFirst, TierNotAnswered).routed(r)
 	m.group(m.organisations.label(r.Organisation), OrganisationAnswer, OrganisationFirst, OrganisationNotAnswered).routed(r)
 }
 
 func (g *group) routed(r RoutedRequest) {
 	if r.Reason == ReasonAnswered {
-		g.answer.RecordDuration(min(r.Total, longest))
+		g.answer.RecordDuration(min(r.Total, maxDuration))
 	} else {
 		g.notAnswered.Inc(1)
 	}
 	if r.First > 0 {
-		g.first.RecordDuration(min(r.First, longest))
+		g.first.RecordDuration(min(r.First, maxDuration))
 	}
 }
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -1,5 +1,5 @@
-// Package telemetry holds the logs and metrics of a process. Neither ever shows
-// content of a request, a bearer token or a shared key.
+// Package telemetry provides the log and the metrics of a process. Neither ever
+// contains content of a request, a bearer token or a shared key.
 package telemetry
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLogger makes a logger that writes JSON lines at a level (debug, info, warn,
-// error), with the process' name on each line.
+// NewLogger returns a logger that writes JSON lines from a level (debug, info, warn,
+// error) on.
 func NewLogger(out io.Writer, level string) (*logrus.Logger, error) {
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -20,21 +20,22 @@
 const (
 	metricsPrefix  = "sycamoretrail"
 	reportInterval = time.Second
-	// longest is the last bucket. tally reports samples beyond it as the largest
-	// duration there is, which would spoil the histogram's sum, so they count as it.
-	longest = time.Hour
+	// maxDuration is the last bucket; longer samples are recorded as maxDuration.
+	// tally would report them as the largest possible duration, which would make the
+	// histogram's sum useless.
+	maxDuration = time.Hour
 )
 
-// latencyBuckets reach from a fast first token to the longest deadlines.
+// latencyBuckets range from a fast first token to the longest deadlines.
 var latencyBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, 850 * time.Millisecond,
 	1500 * time.Millisecond, 3 * time.Second, 6 * time.Second, 15 * time.Second, 60 * time.Second,
-	5 * time.Minute, longest,
+	5 * time.Minute, maxDuration,
 }
 
-// sanitizer keeps to the characters that Prometheus allows in names. Values may
-// hold any printable character: organisations' names have dashes.
+// sanitizer allows the characters that Prometheus allows in names. Values may have
+// any printable character, since names of organisations have dashes.
 var sanitizer = tally.SanitizeOptions{
 	NameCharacters:       tally.ValidCharacters{Ranges: tally.AlphanumericRange, Characters: tally.UnderscoreCharacters},
 	KeyCharacters:        tally.ValidCharacters{Ranges: tally.AlphanumericRange, Characters: tally.UnderscoreCharacters},
@@ -42,13 +43,13 @@
 	ReplacementCharacter: '_',
 }
 
-// Settled is what a finished request shows in the metrics.
+// Settled holds what the metrics record of a settled request.
 type Settled struct {
 	Organisation string
-	// Tier is the tier's name, from the document, so that its number is bounded.
+	// Tier is the tier's name in the document, so that the number of names is bounded.
 	Tier   string
 	Status outcome.Status
-	// FirstToken and Total count from arrival; FirstToken is 0 where none came.
+	// FirstToken and Total count from arrival; FirstToken is 0 if there was none.
 	FirstToken time.Duration
 	Total      time.Duration
 }
@@ -60,15 +61,15 @@
 	handler       fasthttp.RequestHandler
 	organisations *organisations
 	tiers         tierNames
-	// series holds what tally made, by requestsKey and groupKey; as many as the
-	// document has tiers and the bound allows organisations.
+	// series caches tally's counters and histograms by requestsKey and groupKey. The
+	// tiers of the document and the bound of organisations limit its size.
 	series sync.Map
 
 	mutex  sync.Mutex
 	totals map[string]int64
 }
 
-// NewMetrics makes the root scope. Name and zone go onto each series.
+// NewMetrics returns the metrics of a process. Name and zone are labels of each series.
 func NewMetrics(name, zone string) *Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry})
@@ -88,9 +89,9 @@
 	}
 }
 
-// describe gives the page the help texts of counters and gauges; the reporter
-// has no way to give one to a histogram. Its registry is new and each name
-// stands in the catalogue once, so an error is a fault of the catalogue.
+// describe registers the help texts of counters and gauges; the reporter has no way
+// to register one for a histogram. The registry is new and each name is in the
+// catalogue once, so an error is a fault of the catalogue.
 func describe(reporter prometheus.Reporter) {
 	for _, m := range catalogue {
 		labels := append(slices.Clone(rootLabels), m.Labels...)
@@ -108,7 +109,7 @@
 	}
 }
 
-// Close reports a last time.
+// Close reports the metrics a last time.
 func (m *Metrics) Close() error {
 	if err := m.closer.Close(); err != nil {
 		return fmt.Errorf("close metrics: %w", err)
@@ -119,8 +120,8 @@
 // Handler serves /metrics in Prometheus' text format.
 func (m *Metrics) Handler(ctx *fasthttp.RequestCtx) { m.handler(ctx) }
 
-// Settled counts a finished request: by tier and by organisation apart, not by
-// both, so that the number of series is a sum and not a product.
+// Settled records a settled request, by tier and by organisation separately, so that
+// the number of series is the sum of both and not the product.
 func (m *Metrics) Settled(s Settled) {
 	s.Tier = m.tiers.label(s.Tier)
 	m.requests(s.Tier, s.Status).Inc(1)
@@ -129,25 +130,26 @@
 	m.group(organisation, OrganisationAnswer, OrganisationFirst, OrganisationNotAnswered).record(s)
 }
 
-// requestsKey names one series of Requests.
+// requestsKey identifies one series of Requests.
 type requestsKey struct {
 	tier    string
 	outcome outcome.Outcome
 	reason  outcome.Reason
 }
 
-// requests finds a counter; a look-up by tags in tally costs microseconds.
+// requests returns a counter from the cache; a look-up by tags in tally takes
+// microseconds.
 func (m *Metrics) requests(tier string, status outcome.Status) tally.Counter {
 	key := requestsKey{tier, status.Outcome, status.Reason}
 	if known, found := m.series.Load(key); found {
 		return known.(tally.Counter)
 	}
-	scope := m.tagged(Requests, tier, string(status.Outcome), string(status.Reason))
+	scope := m.scopeFor(Requests, tier, string(status.Outcome), string(status.Reason))
 	counter, _ := m.series.LoadOrStore(key, scope.Counter(Requests.Name))
 	return counter.(tally.Counter)
 }
 
-// group is the series of one tier or one organisation.
+// group holds the series of one tier or one organisation.
 type group struct {
 	answer, first tally.Histogram
 	notAnswered   tally.Counter
@@ -160,7 +162,7 @@
 	if known, found := m.series.Load(key); found {
 		return known.(*group)
 	}
-	scope := m.tagged(answer, value)
+	scope := m.scopeFor(answer, value)
 	made, _ := m.series.LoadOrStore(key, &group{
 		answer:      scope.Histogram(answer.Name, latencyBuckets),
 		first:       scope.Histogram(first.Name, latencyBuckets),
@@ -171,31 +173,31 @@
 
 func (g *group) record(s Settled) {
 	if s.Status.Outcome == outcome.Answered {
-		g.answer.RecordDuration(min(s.Total, longest))
+		g.answer.RecordDuration(min(s.Total, maxDuration))
 	} else {
 		g.notAnswered.Inc(1)
 	}
 	if s.FirstToken > 0 {
-		g.first.RecordDuration(min(s.FirstToken, longest))
+		g.first.RecordDuration(min(s.FirstToken, maxDuration))
 	}
 }
 
-// Set sets a gauge; values are those of its labels, in their order.
+// Set sets a gauge; values are the values of its labels, in their order.
 func (m *Metrics) Set(gauge Metric, reading float64, values ...string) {
-	m.tagged(gauge, values...).Gauge(gauge.Name).Update(reading)
+	m.scopeFor(gauge, values...).Gauge(gauge.Name).Update(reading)
 }
 
-// Total brings a counter to a total that is counted elsewhere.
+// Total raises a counter to a total that is counted elsewhere.
 func (m *Metrics) Total(counter Metric, total int64, values ...string) {
 	key := counter.Name + "\x00" + strings.Join(values, "\x00")
 	m.mutex.Lock()
 	grown := total - m.totals[key]
 	m.totals[key] = total
 	m.mutex.Unlock()
-	m.tagged(counter, values...).Counter(counter.Name).Inc(grown)
+	m.scopeFor(counter, values...).Counter(counter.Name).Inc(grown)
 }
 
-func (m *Metrics) tagged(metric Metric, values ...string) tally.Scope {
+func (m *Metrics) scopeFor(metric Metric, values ...string) tally.Scope {
 	if len(metric.Labels) == 0 {
 		return m.scope
 	}
--- a/internal/telemetry/organisations.go
+++ b/internal/telemetry/organisations.go
@@ -11,87 +11,87 @@
 	// MaxOrganisationSeries bounds the organisations with series of their own.
 	MaxOrganisationSeries = 32
 	// sketchSize bounds the organisations whose traffic is counted to find the
-	// largest; an organisation above 1/sketchSize of the traffic is always among them.
+	// largest; an organisation above 1/sketchSize of the traffic is always counted.
 	sketchSize = 512
-	// admitEvery is how many requests pass between two choices of new series.
-	admitEvery = 1000
-	// Other is the series of all organisations without their own.
+	// admitInterval is the number of requests between two admissions of new series.
+	admitInterval = 1000
+	// Other is the label of all organisations without series of their own.
 	Other = "other"
 )
 
 // organisations chooses which organisations get series of their own: the largest
-// by traffic, found with the space-saving sketch (Metwally et al. 2005). A series
-// once made stays, since the reporter cannot take one back; so a process makes
-// at most the bound, and an organisation that grows later than that stays in Other.
+// by traffic, found with the space-saving sketch (Metwally et al. 2005). The reporter
+// cannot remove a series, so a process admits at most bound organisations; one that
+// grows after that stays in Other.
 type organisations struct {
 	bound int
 
-	mutex  sync.Mutex
-	own    map[string]bool
-	counts map[string]*tallied
-	least  heap.Heap[*tallied]
-	seen   int
+	mutex    sync.Mutex
+	admitted map[string]bool
+	counts   map[string]*organisationCount
+	smallest heap.Heap[*organisationCount]
+	seen     int
 }
 
-// tallied is the count of one organisation in the sketch.
-type tallied struct {
-	name  string
-	count int64
-	place int
+// organisationCount counts the requests of one organisation in the sketch.
+type organisationCount struct {
+	name      string
+	count     int64
+	heapIndex int
 }
 
 func newOrganisations(bound int) *organisations {
-	less := func(a, b *tallied) bool { return a.count < b.count || a.count == b.count && a.name < b.name }
-	place := func(t *tallied, index int) { t.place = index }
+	less := func(a, b *organisationCount) bool { return a.count < b.count || a.count == b.count && a.name < b.name }
+	setIndex := func(t *organisationCount, index int) { t.heapIndex = index }
 	return &organisations{
-		bound: bound, own: make(map[string]bool), counts: make(map[string]*tallied), least: heap.New(less, place),
+		bound: bound, admitted: make(map[string]bool), counts: make(map[string]*organisationCount), smallest: heap.New(less, setIndex),
 	}
 }
 
-// label counts a request and names its series.
+// label counts a request and returns the label of its series.
 func (o *organisations) label(name string) string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if len(o.own) < o.bound {
+	if len(o.admitted) < o.bound {
 		o.count(name)
 		o.seen++
-		if o.seen%admitEvery == 0 {
+		if o.seen%admitInterval == 0 {
 			o.admit()
 		}
 	}
-	if o.own[name] {
+	if o.admitted[name] {
 		return name
 	}
 	return Other
 }
 
-// count adds to an organisation; one that is not in the full sketch takes over
-// the place and the count of the smallest.
+// count counts a request of an organisation. If the sketch is full, a new organisation
+// replaces the smallest one and inherits its count.
 func (o *organisations) count(name string) {
 	known := o.counts[name]
 	switch {
 	case known != nil:
 	case len(o.counts) < sketchSize:
-		known = &tallied{name: name}
+		known = &organisationCount{name: name}
 		o.counts[name] = known
-		o.least.Push(known)
+		o.smallest.Push(known)
 	default:
-		known = o.least.Top()
+		known = o.smallest.Top()
 		delete(o.counts, known.name)
 		known.name = name
 		o.counts[name] = known
 	}
 	known.count++
-	o.least.Fix(known.place)
+	o.smallest.Fix(known.heapIndex)
 }
 
-// admit gives series to organisations above a fair part of the traffic so far,
-// the largest first.
+// admit gives series to organisations with more than 1/(2*bound) of the traffic so
+// far, the largest first.
 func (o *organisations) admit() {
 	threshold := int64(o.seen / (2 * o.bound))
 	names := make([]string, 0, len(o.counts))
 	for name, known := range o.counts {
-		if known.count > threshold && !o.own[name] {
+		if known.count > threshold && !o.admitted[name] {
 			names = append(names, name)
 		}
 	}
@@ -100,9 +100,9 @@
 		return a > b || a == b && names[i] < names[j]
 	})
 	for _, name := range names {
-		if len(o.own) >= o.bound {
+		if len(o.admitted) >= o.bound {
 			return
 		}
-		o.own[name] = true
+		o.admitted[name] = true
 	}
 }
--- a/internal/telemetry/process.go
+++ b/internal/telemetry/process.go
@@ -9,13 +9,12 @@
 	"time"
 )
 
-// ProcessUsage is what this process has used of its machine.
+// ProcessUsage is the resource usage of this process.
 type ProcessUsage struct {
 	// CPU is user and system time since the start.
 	CPU time.Duration
-	// Resident is the memory that the system holds for the process, Heap the part
-	// taken by live and not yet collected objects; both in bytes. Resident is 0
-	// where the system does not tell.
+	// Resident is the resident memory of the process, Heap the part of live and not
+	// yet collected objects; both in bytes. Resident is 0 if it cannot be read.
 	Resident, Heap int64
 	Goroutines     int64
 }
@@ -28,7 +27,7 @@
 	statmResident = 1
 )
 
-// ReadProcessUsage reads it now.
+// ReadProcessUsage returns the current usage.
 func ReadProcessUsage() ProcessUsage {
 	samples := []metrics.Sample{{Name: heapMetric}, {Name: goroutinesMetric}}
 	metrics.Read(samples)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the logger", func() {
-	It("follows the level while the process runs", func() {
+	It("applies a changed level while the process runs", func() {
 		var out bytes.Buffer
 		logger, err := NewLogger(&out, "info")
 		Expect(err).NotTo(HaveOccurred())
@@ -26,7 +26,7 @@
 	})
 })
 
-// page is what /metrics answers.
+// page returns the body of /metrics.
 func page(m *Metrics) string {
 	var ctx fasthttp.RequestCtx
 	ctx.Init(&fasthttp.Request{}, nil, nil)
@@ -68,17 +68,17 @@
 		}
 	})
 
-	// An answer took longer than the last bucket. tally hands such a sample to the
-	// reporter as the largest duration there is, some 292 years; one of them would
-	// make every mean that an operator forms from the histogram worthless.
-	It("keep the sum sound when an answer outlasts the buckets", func() {
+	// An answer took longer than the last bucket. tally passes such a sample to the
+	// reporter as the largest possible duration, some 292 years; a single one would
+	// make every mean that operators compute from the histogram useless.
+	It("bound the sum when an answer takes longer than the last bucket", func() {
 		m := NewMetrics("e", "z")
 		m.Settled(Settled{Organisation: "o", Tier: "t", Status: outcome.Complete(), Total: 5 * time.Hour})
 		Expect(text(m)).To(ContainSubstring(`sycamoretrail_by_tier_answer_seconds_sum{entry="e",tier="t",zone="z"} 3600` + "\n"))
 	})
 
-	// 38,000 organisations send requests, three of them most of the traffic. The
-	// page must not grow by a series for each, and must show the three.
+	// 38,000 organisations send requests, three of them half of all. The page must
+	// show these three without a series for each of the others.
 	It("give series to the largest organisations only", func() {
 		m := NewMetrics("e", "z")
 		for i := range 40_000 {
@@ -97,9 +97,9 @@
 		Expect(page).NotTo(ContainSubstring("small-"))
 	})
 
-	// A caller makes up a tier for each request. It is refused, and counted, and the
-	// page must not grow by a series each time.
-	It("bound the series of tiers, whatever callers write", func() {
+	// A caller sends an unknown tier name with each request. Each is refused and
+	// counted, but must not add a series to the page.
+	It("bound the series of tiers, whatever callers send", func() {
 		m := NewMetrics("entry-1", "z")
 		for i := range 10_000 {
 			m.Settled(Settled{Tier: fmt.Sprint("tier-", i), Status: outcome.Refused(outcome.ReasonTierNotAllowed, 0, "")})
--- a/internal/telemetry/tiers.go
+++ b/internal/telemetry/tiers.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// MaxTierSeries bounds the tiers with series of their own; a document has at
-// most 16, and a few documents may follow each other.
+// MaxTierSeries bounds the tiers with series of their own. A document has at most 16
+// tiers, and a few documents may succeed each other.
 const MaxTierSeries = 64
 
-// tierNames bounds the tiers' names. Each document may name others, and the
-// reporter takes no series back. The edge gives only names that the document has;
-// should a text of a caller's own get here, it could not fill the memory.
+// tierNames bounds the number of tier labels. Each document may have other tiers, and
+// the reporter cannot remove a series. The edge reports only names in the document; if
+// a name sent by a caller reached the metrics anyway, it could not exhaust the memory.
 type tierNames struct {
 	mutex sync.RWMutex
 	known map[string]bool
