--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -1,5 +1,5 @@
-// Package cli holds what the command lines of the daemons share: run, check and
-// version, the settings flag, and exit codes that scripts can use.
+// Package cli implements the command line that the daemons share: the commands run,
+// check and version, the settings flag, and exit codes for scripts.
 package cli
 
 import (
@@ -21,16 +21,17 @@
 
 // Daemon describes the command line of one daemon. S is its settings.
 type Daemon[S any] struct {
-	// Name, Short and Long are cobra's; RunShort describes the command run.
+	// Name, Short and Long describe the root command, RunShort the command run.
 	Name, Short, Long, RunShort string
 	Version                     string
-	// Load reads and checks a settings file; its faults wrap settings.Faults.
+	// Load reads and checks a settings file; an error is settings.Faults or wraps
+	// settings.ErrRead.
 	Load func(path string) (S, error)
-	// Run serves until it is told to stop.
+	// Run serves until the process is ordered to stop.
 	Run func(ctx context.Context, loaded S) error
 }
 
-// Main runs the command line and ends the process.
+// Main runs the command line; it exits the process with an exit code on an error.
 func (d Daemon[S]) Main() {
 	err := d.Command().Execute()
 	if err == nil {
@@ -48,7 +49,7 @@
 	return ExitFailed
 }
 
-// Command forms the command line.
+// Command returns the root command.
 func (d Daemon[S]) Command() *cobra.Command {
 	root := &cobra.Command{
 		Use: d.Name, Short: d.Short, Long: d.Long, Version: d.Version,
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,5 +1,5 @@
-// Package decisionlog writes a line for each decision of the entry's core, without ever
-// holding the core up.
+// Package decisionlog writes a log line for each decision of the entry's core without
+// blocking the core.
 package decisionlog
 
 import (
@@ -16,22 +16,22 @@
 )
 
 const (
-	// PerSecond bounds the lines on decisions. At full load an entry takes
-	// several thousand decisions a second; the log must not cost more than they do.
+	// PerSecond bounds the lines per second. At full load an entry makes several
+	// thousand decisions per second; logging must not cost more than making them.
 	PerSecond = 200
-	// decisionsWaiting bounds the lines that wait to be written.
-	decisionsWaiting = 1024
+	// queueLength bounds the lines that wait to be written.
+	queueLength = 1024
 )
 
-// EventRefused marks the line of a request that never reached the core.
+// EventRefused is the event of a request that was refused before it reached the core.
 const EventRefused = "refused"
 
-// Log writes one line for each decision of the core, up to a bound for
-// each second. What was left out is counted on the next second's first line.
+// Log writes one line for each decision of the core, up to a bound per second. The
+// first line after an omission reports the number of omitted lines.
 //
-// A goroutine of its own writes. The core's goroutine decides for all callers;
-// were it to write, each decision would wait for the lines of those before it,
-// and a reader of the log that stands still would stop the whole entry.
+// A separate goroutine writes. The core's goroutine decides for all callers; if it
+// wrote the lines, each decision would wait for the lines of earlier ones, and a
+// blocked reader of the log would stop the whole entry.
 type Log struct {
 	log      logrus.FieldLogger
 	clock    func() time.Time
@@ -44,22 +44,22 @@
 	mutex   sync.Mutex
 	second  int64
 	written int
-	left    int
+	omitted int
 }
 
-// decisionLine is what to write, and how many lines were left out before it.
+// decisionLine is a line to write, with the number of lines omitted before it.
 type decisionLine struct {
-	decision     entry.Decision
-	organisation string
-	left         int
+	decision      entry.Decision
+	organisation  string
+	omittedBefore int
 }
 
-// New starts the writer; limit is in lines a second, tierName gives the
-// name of a tier for the lines on requests.
+// New starts the writer; limit is in lines per second, tierName returns the name of
+// a tier for the lines on requests.
 func New(log logrus.FieldLogger, clock func() time.Time, limit int, tierName func(request.Tier) string) *Log {
 	d := &Log{
 		log: log, clock: clock, limit: limit, tierName: tierName,
-		lines: make(chan decisionLine, decisionsWaiting),
+		lines: make(chan decisionLine, queueLength),
 		stop:  make(chan struct{}),
 		done:  make(chan struct{}),
 	}
@@ -67,20 +67,20 @@
 	return d
 }
 
-// Decision hands a line over, or counts it. It never waits.
-func (d *Log) Decision(e entry.Decision) { d.hand(decisionLine{decision: e}) }
+// Decision enqueues a line on a decision, or counts it as omitted. It never blocks.
+func (d *Log) Decision(e entry.Decision) { d.enqueue(decisionLine{decision: e}) }
 
-// Refused hands over a line on a request that was refused before it reached the
-// core: id and organisation are empty where they were not known yet. It has no
-// detail of the caller's, since there the detail repeats what the caller wrote.
+// Refused enqueues a line on a request that was refused before it reached the core;
+// id and organisation are empty if they are unknown. The line leaves out the
+// refusal's detail, since that repeats texts of the caller.
 func (d *Log) Refused(id ident.RequestID, organisation string, reason outcome.Reason) {
-	d.hand(decisionLine{
+	d.enqueue(decisionLine{
 		decision:     entry.Decision{ID: id, Event: EventRefused, Reason: reason, Detail: string(outcome.NotRun)},
 		organisation: organisation,
 	})
 }
 
-func (d *Log) hand(line decisionLine) {
+func (d *Log) enqueue(line decisionLine) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	second := d.clock().Unix()
@@ -88,20 +88,20 @@
 		d.second, d.written = second, 0
 	}
 	if d.written >= d.limit {
-		d.left++
+		d.omitted++
 		return
 	}
-	line.left = d.left
+	line.omittedBefore = d.omitted
 	select {
 	case d.lines <- line:
 		d.written++
-		d.left = 0
+		d.omitted = 0
 	default:
-		d.left++
+		d.omitted++
 	}
 }
 
-// Close writes what waits and ends the writer; later decisions are not written.
+// Close writes the waiting lines and stops the writer; later decisions are not written.
 func (d *Log) Close() {
 	close(d.stop)
 	<-d.done
@@ -143,8 +143,8 @@
 	}
 	addText(fields, "reason", string(e.Reason))
 	addText(fields, "why", reasons.Of(e.Reason).Meaning)
-	if line.left > 0 {
-		fields["left_out"] = line.left
+	if line.omittedBefore > 0 {
+		fields["left_out"] = line.omittedBefore
 	}
 	d.log.WithFields(fields).Info("decision")
 }
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -23,7 +23,7 @@
 }
 
 var _ = Describe("lines on decisions", func() {
-	It("are JSON, bounded for each second, and say how many were left out", func() {
+	It("are JSON, bounded per second, and report how many were omitted", func() {
 		var out bytes.Buffer
 		logger, err := telemetry.NewLogger(&out, "info")
 		Expect(err).NotTo(HaveOccurred())
@@ -44,9 +44,10 @@
 		Expect(last).To(And(HaveKeyWithValue("left_out", 3.0), Not(HaveKey("id"))))
 	})
 
-	// An organisation asks for a model that it may not use; the core never hears of
-	// it, so explain cannot either. The log must say it, without the caller's words.
-	It("tell of refusals at the edge", func() {
+	// An organisation asks for a model that it may not use. The request does not reach
+	// the core, so sycamorectl explain does not show it. The log must report it,
+	// without any text of the caller.
+	It("report refusals at the edge", func() {
 		var out bytes.Buffer
 		logger, err := telemetry.NewLogger(&out, "info")
 		Expect(err).NotTo(HaveOccurred())
@@ -59,14 +60,14 @@
 			HaveKeyWithValue("reason", "unknown_model"), HaveKeyWithValue("why", ContainSubstring("may not use this model"))))
 	})
 
-	// Whoever reads the log stands still. The core must go on deciding; what does
-	// not fit is counted on the next line that does, not lost unsaid.
-	It("never hold the core up", func() {
+	// The reader of the log is blocked. The core must continue, and lines that do not
+	// fit the queue must be counted on the next one that does.
+	It("never block the core", func() {
 		var out bytes.Buffer
 		stuck := make(chan struct{})
 		logger, err := telemetry.NewLogger(&gate{open: stuck, out: &out}, "info")
 		Expect(err).NotTo(HaveOccurred())
-		const sent = 3 * decisionsWaiting
+		const sent = 3 * queueLength
 		d := New(logger, func() time.Time { return time.Unix(1000, 0) }, 2*sent, nil)
 		for range sent {
 			d.Decision(entry.Decision{Event: entry.EventMember})
@@ -84,12 +85,12 @@
 			Expect(json.Unmarshal([]byte(line), &said)).To(Succeed())
 			left += said.Left
 		}
-		Expect(left).To(BeNumerically(">=", sent-decisionsWaiting-1))
+		Expect(left).To(BeNumerically(">=", sent-queueLength-1))
 		Expect(left + len(lines)).To(Equal(sent + 1))
 	})
 })
 
-// gate writes nothing until it is open.
+// gate blocks writes until open is closed.
 type gate struct {
 	open chan struct{}
 	out  *bytes.Buffer
@@ -100,7 +101,7 @@
 	return g.out.Write(p)
 }
 
-// BenchmarkDecision is what a decision's line costs the core's goroutine.
+// BenchmarkDecision measures the cost of a decision's line for the core's goroutine.
 func BenchmarkDecision(b *testing.B) {
 	logger, err := telemetry.NewLogger(io.Discard, "info")
 	if err != nil {
@@ -114,10 +115,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		d.Decision(decision)
-		if len(d.lines) < decisionsWaiting/2 {
+		if len(d.lines) < queueLength/2 {
 			continue
 		}
-		// A full queue would leave lines out, which costs less than handing over.
+		// A full queue omits lines, which costs less than enqueueing them.
 		b.StopTimer()
 		for len(d.lines) > 0 {
 			time.Sleep(time.Millisecond)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,8 @@
-// Package eventlog writes one line for each decision, without ever holding up who
-// decides: lines wait in a bounded ring and a goroutine of its own writes them. A
-// reader of the log that stands still fills the ring, and what finds no room is
-// left out and counted. Lines on what succeeded are left out first, those on
-// failures and on what the process believes last.
+// Package eventlog writes one log line for each decision without blocking the deciding
+// goroutine: lines wait in a bounded queue, and a separate goroutine writes them. When
+// the reader of the log is blocked, the queue fills; further lines are omitted and
+// counted. Rates per second omit routine lines first, then lines on failures. Belief
+// lines have no such bound.
 package eventlog
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Importance decides what is left out first.
+// Importance determines which lines are omitted first.
 type Importance uint8
 
 const (
-	// Routine lines tell of what went as it should.
+	// Routine lines report expected events.
 	Routine Importance = iota
-	// Failure lines tell of requests that were not answered.
+	// Failure lines report requests that were not answered.
 	Failure
-	// Belief lines tell of what the process believes from now on.
+	// Belief lines report changes of the state that the process assumes.
 	Belief
 	importances
 )
@@ -29,16 +29,16 @@
 func (i Importance) String() string { return [...]string{"routine", "failure", "belief"}[i] }
 
 const (
-	// routinePerSecond and failurePerSecond bound the lines in a second. An entry of
-	// a fifth of a core handles some tens of requests a second; at a few µs a line
+	// routinePerSecond and failurePerSecond bound the lines per second. An entry with
+	// a fifth of a core handles some tens of requests per second; at a few µs per line
 	// the bound is under one part in a hundred of that core.
 	routinePerSecond = 200
 	failurePerSecond = 400
-	// waitingLines bounds the lines that wait to be written, some 500 bytes each.
-	waitingLines = 1024
+	// queueLength bounds the lines that wait to be written, some 500 bytes each.
+	queueLength = 1024
 )
 
-// Fields are a line's inputs and outcome; see the event constants of each package.
+// Fields are the fields of a line; see the event constants of each package.
 type Fields = logrus.Fields
 
 // Log is a bounded log of decisions.
@@ -53,8 +53,8 @@
 	second  int64
 	written [importances]int
 	omitted [importances]int64
-	// unsaid is what has been omitted since the last line that said so.
-	unsaid int64
+	// unreported counts the lines omitted since the last line that reported omissions.
+	unreported int64
 }
 
 type line struct {
@@ -65,13 +65,13 @@
 
 // New starts the writer.
 func New(logger *logrus.Logger, clock func() time.Time) *Log {
-	l := &Log{logger: logger, clock: clock, lines: make(chan line, waitingLines), done: make(chan struct{})}
+	l := &Log{logger: logger, clock: clock, lines: make(chan line, queueLength), done: make(chan struct{})}
 	go l.write()
 	return l
 }
 
-// Write hands a line over, or counts it as omitted. It never waits. The fields are
-// the log's from then on.
+// Write enqueues a line, or counts it as omitted. It never blocks. The caller must not
+// use fields afterwards.
 func (l *Log) Write(importance Importance, event string, fields Fields) {
 	now := l.clock()
 	l.mutex.Lock()
@@ -87,13 +87,13 @@
 		l.omit(importance)
 		return
 	}
-	if l.unsaid > 0 {
-		fields["omitted_before"] = l.unsaid
+	if l.unreported > 0 {
+		fields["omitted_before"] = l.unreported
 	}
 	select {
 	case l.lines <- line{at: now, event: event, fields: fields}:
 		l.written[importance]++
-		l.unsaid = 0
+		l.unreported = 0
 	default:
 		delete(fields, "omitted_before")
 		l.omit(importance)
@@ -113,10 +113,10 @@
 
 func (l *Log) omit(importance Importance) {
 	l.omitted[importance]++
-	l.unsaid++
+	l.unreported++
 }
 
-// Omitted is the number of lines left out so far, by importance.
+// Omitted returns the number of lines omitted so far, by importance.
 func (l *Log) Omitted() map[Importance]int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -127,7 +127,7 @@
 	return omitted
 }
 
-// Close writes what waits, for at most limit; later lines are not written.
+// Close writes the waiting lines, for at most limit; later lines are not written.
 func (l *Log) Close(limit time.Duration) {
 	l.mutex.Lock()
 	if l.closed.Swap(true) {
