--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -11,28 +11,29 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout is short, so that an append rarely meets a connection that
-	// the other side has closed, which would leave its effect unknown.
+	// idleTimeout is short, so that an append rarely uses a connection that the
+	// server has closed, which would leave its effect unknown.
 	idleTimeout = 5 * time.Second
-	// maxAnswer bounds an answer: a read of maxRecords records in base64.
-	maxAnswer = 64 << 20
+	// maxAnswerBytes bounds an answer: a read of maxRecords records in base64.
+	maxAnswerBytes = 64 << 20
 )
 
-// newClient makes an HTTP client that never repeats a call by itself: a second
-// append after a lost answer would be a second record.
+// newClient returns an HTTP client that never retries a call: repeating an append
+// after a lost answer could write a second record.
 func newClient(traffic *Traffic) *fasthttp.Client {
 	return &fasthttp.Client{
 		Name:                      "sycamoretrail",
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxIdleConnDuration:       idleTimeout,
-		MaxResponseBodySize:       maxAnswer,
+		MaxResponseBodySize:       maxAnswerBytes,
 		Dial:                      func(address string) (net.Conn, error) { return dial(address, traffic) },
 	}
 }
 
-// dial wraps every failure as a dial error, also fasthttp's own, so that
-// definite can tell that nothing was sent.
+// dial connects with net.DialTimeout, so that definite recognises every failure as a
+// dial error, after which nothing was sent. fasthttp's own dialer returns other errors
+// as well.
 func dial(address string, traffic *Traffic) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return &meteredConn{Conn: conn, traffic: traffic}, nil
 }
 
-// call does one HTTP call and reads its JSON answer into answer.
+// call makes one HTTP call and decodes its JSON answer into answer.
 func call(client *fasthttp.Client, method, url string, body []byte, timeout time.Duration, answer any) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/logclient/errors.go
+++ b/internal/logclient/errors.go
@@ -1,6 +1,6 @@
-// Package platform holds the clients of the services that outlive the entries:
-// the append-only log and the instance list, over the interfaces of
-// docs/PLATFORM.md.
+// Package logclient provides the clients of the platform's services, which outlive
+// the entries: the append-only log and the instance list. Their interfaces are
+// described in docs/PLATFORM.md.
 package logclient
 
 import (
@@ -10,28 +10,28 @@
 )
 
 var (
-	// ErrRefused: the log said no, or could not be reached at all; the call
-	// had no effect.
+	// ErrRefused means that the log refused the call or could not be reached; the
+	// call had no effect.
 	ErrRefused = errors.New("refused by the platform")
-	// ErrUnknown: the answer was lost or makes no sense; the call may have had
+	// ErrUnknown means that the answer was lost or is invalid; the call may have had
 	// an effect.
 	ErrUnknown = errors.New("no answer from the platform")
-	// ErrBusy: too many calls wait already; nothing was sent.
+	// ErrBusy means that too many calls are waiting; nothing was sent.
 	ErrBusy = errors.New("too many calls to the platform")
-	// errWentBack: the log's end lies before what was read already.
-	errWentBack = errors.New("the log's end went back")
+	// errEndMovedBack means that the log ends before records that were read already.
+	errEndMovedBack = errors.New("the end of the log moved back")
 )
 
-// statusError says which status a call got.
+// statusError is the unexpected HTTP status of a call.
 type statusError struct {
 	Status int
 }
 
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// definite reports whether a failed call certainly had no effect: no connection
-// came about, so no byte left, or the platform answered that it took nothing.
-// A timeout or a broken connection leaves it open.
+// definite reports whether a failed call certainly had no effect: no connection was
+// established, so nothing was sent, or the platform answered that it refused the call.
+// After a timeout or a broken connection the effect is unknown.
 func definite(err error) bool {
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// classify wraps an error of a call that has an effect.
+// classify wraps an error of a call that changes the log.
 func classify(err error) error {
 	if definite(err) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
--- a/internal/logclient/follow.go
+++ b/internal/logclient/follow.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// pollWait is how long a read waits for news. It bounds how old a
-	// LogCaughtUp grows on a quiet stream.
+	// pollWait is how long a read waits for new records. It bounds the age of the
+	// last LogCaughtUp on a stream without new records.
 	pollWait = time.Second
-	// pollMargin is what a read may take beyond its wait.
+	// pollMargin is the time that a read may take beyond its wait.
 	pollMargin = 3 * time.Second
 	maxRecords = 256
 	backoffMin = 100 * time.Millisecond
@@ -47,31 +47,31 @@
 type follower struct {
 	log    *Log
 	stream record.Stream
-	back   time.Duration
+	maxAge time.Duration
 	ctx    context.Context
 
-	// next is the offset to read from; 0 until the start was found.
-	next    int64
-	caught  bool
-	down    bool
-	failed  int
-	backoff backoff.Backoff
+	// next is the offset to read from; 0 until the start offset is found.
+	next     int64
+	caughtUp bool
+	down     bool
+	failures int
+	backoff  backoff.Backoff
 }
 
 func newFollower(ctx context.Context, l *Log, f entry.Follow) *follower {
 	return &follower{
 		log:     l,
 		stream:  f.Stream,
-		back:    f.Back,
+		maxAge:  f.Back,
 		ctx:     ctx,
 		backoff: backoff.Backoff{Min: backoffMin, Max: backoffMax},
 	}
 }
 
 func (f *follower) run() {
-	defer f.log.outages.forget(f.stream)
+	defer f.log.outages.removeStream(f.stream)
 	for f.ctx.Err() == nil {
-		err := f.round()
+		err := f.poll()
 		if f.ctx.Err() != nil {
 			return
 		}
@@ -79,13 +79,13 @@
 			f.fail(err)
 			continue
 		}
-		f.failed = 0
+		f.failures = 0
 		f.backoff.Reset()
 	}
 }
 
-// round does one read and delivers what it brought.
-func (f *follower) round() error {
+// poll makes one read and delivers its records.
+func (f *follower) poll() error {
 	if f.next == 0 {
 		start, err := f.seek()
 		if err != nil {
@@ -94,7 +94,7 @@
 		f.next = start
 	}
 	wait := time.Duration(0)
-	if f.caught {
+	if f.caughtUp {
 		wait = f.log.pollWait
 	}
 	since := f.log.clock()
@@ -102,21 +102,22 @@
 	if err != nil {
 		return err
 	}
-	if err := f.take(page, since); err != nil || len(page.Records) > 0 {
+	if err := f.deliverPage(page, since); err != nil || len(page.Records) > 0 {
 		return err
 	}
-	// A log that answers at once instead of waiting would be asked without rest.
+	// Without the pause, a log that answers at once instead of waiting would be polled
+	// in a busy loop.
 	return f.pause(wait - f.log.clock().Sub(since))
 }
 
-// take delivers a page. A gap means that records aged out before they were read:
-// the core hears LogDown first, so that it trusts nothing that it knew of the
+// deliverPage delivers a page. A gap means that records expired before they were read.
+// The core then receives LogDown first, so that it does not rely on its state of the
 // stream until it has caught up.
-func (f *follower) take(p page, since time.Time) error {
+func (f *follower) deliverPage(p page, since time.Time) error {
 	if p.End > 0 && p.End < f.next-1 {
-		return errWentBack
+		return errEndMovedBack
 	}
-	if p.First > f.next && f.caught {
+	if p.First > f.next && f.caughtUp {
 		f.reportDown(errAgedOut)
 	}
 	for _, record := range p.Records {
@@ -130,29 +131,29 @@
 	if f.next < p.End {
 		return nil
 	}
-	f.caught = true
+	f.caughtUp = true
 	f.down = false
-	f.log.outages.ended(f.stream)
+	f.log.outages.streamUp(f.stream)
 	f.deliver(entry.LogCaughtUp{Stream: f.stream, Offset: f.next, Since: since})
 	return nil
 }
 
-// fail waits before the next try, and reports an outage once each base URL has
-// failed in turn.
+// fail switches to the next base URL. Once each has failed in turn, it reports an
+// outage and waits before the next attempt.
 func (f *follower) fail(cause error) {
-	f.log.moveOn(f.log.base())
-	f.failed++
-	if f.failed >= len(f.log.urls) {
+	f.log.useNextURL(f.log.base())
+	f.failures++
+	if f.failures >= len(f.log.urls) {
 		f.reportDown(cause)
 		f.backoff.Sleep(f.ctx, nil)
 	}
 }
 
 func (f *follower) reportDown(cause error) {
-	f.caught = false
+	f.caughtUp = false
 	if !f.down {
 		f.down = true
-		f.log.outages.began(f.stream, cause)
+		f.log.outages.streamDown(f.stream, cause)
 		f.deliver(entry.LogDown{Stream: f.stream})
 	}
 }
@@ -163,15 +164,15 @@
 	}
 }
 
-// seek finds the first record that is no older than back, by halving the range
-// of offsets: ages fall as offsets rise.
+// seek finds the first record that is no older than maxAge, by binary search over the
+// offsets: ages fall as offsets rise.
 func (f *follower) seek() (int64, error) {
 	p, err := f.read(firstOffset, 1, 0)
 	if err != nil {
 		return 0, err
 	}
 	low, high := max(p.First, firstOffset), p.End
-	if f.back <= 0 {
+	if f.maxAge <= 0 {
 		return low, nil
 	}
 	for low < high {
@@ -180,7 +181,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if len(p.Records) > 0 && p.Records[0].age() > f.back {
+		if len(p.Records) > 0 && p.Records[0].age() > f.maxAge {
 			low = p.Records[0].Offset + 1
 			continue
 		}
@@ -195,13 +196,13 @@
 	err := call(f.log.client, fasthttp.MethodGet, url, nil, wait+pollMargin, &p)
 	var status *statusError
 	if errors.As(err, &status) && status.Status == fasthttp.StatusNotFound {
-		// A stream exists from its first append; until then it is empty.
+		// A stream is created by its first append; until then it is empty.
 		return page{Next: from, First: firstOffset, End: from}, nil
 	}
 	return p, err
 }
 
-// pause waits; the context's end is its error.
+// pause waits; it returns the context's error if that ends first.
 func (f *follower) pause(wait time.Duration) error {
 	if wait <= 0 {
 		return nil
--- a/internal/logclient/instances.go
+++ b/internal/logclient/instances.go
@@ -21,19 +21,19 @@
 	traffic Traffic
 }
 
-// NewInstances makes a client of the list at the base URL.
+// NewInstances returns a client of the list at the base URL.
 func NewInstances(base string) *Instances {
 	i := &Instances{base: base}
 	i.client = newClient(&i.traffic)
 	return i
 }
 
-// Traffic counts what this client sent and received.
+// Traffic returns the counters of bytes that this client sent and received.
 func (i *Instances) Traffic() *Traffic { return &i.traffic }
 
-// Poll reads the list until the context ends and hands each answer on. A
-// failure is told to failed and changes nothing: the list lags anyway and is
-// only a hint.
+// Poll reads the list periodically until the context ends, and calls took with each
+// list. It calls failed with an error, which has no other effect: the list lags anyway
+// and is only a hint.
 func (i *Instances) Poll(ctx context.Context, took func(entry.InstanceList), failed func(error)) {
 	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
--- a/internal/logclient/log.go
+++ b/internal/logclient/log.go
@@ -17,28 +17,28 @@
 
 const (
 	appendTimeout = 5 * time.Second
-	// appendWorkers bounds the appends under way, appendQueue those that wait.
+	// appendWorkers bounds the concurrent appends, appendQueue the waiting ones.
 	appendWorkers = 16
 	appendQueue   = 256
 )
 
-// Deliver hands an input to the core loop; it may wait for room.
+// Deliver passes an input to the core loop; it may block while the loop's ring is full.
 type Deliver func(entry.Input)
 
 // Log is the client of the append-only log.
 type Log struct {
-	urls    []string
-	made    atomic.Int64 // appends that took effect, as far as known
-	current atomic.Int64
-	client  *fasthttp.Client
-	traffic Traffic
-	deliver Deliver
-	clock   func() time.Time
-	appends pond.Pool
-	ctx     context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	// pollWait is how long a read waits for news.
+	urls          []string
+	confirmed     atomic.Int64 // appends that took effect, as far as known
+	current       atomic.Int64
+	client        *fasthttp.Client
+	traffic       Traffic
+	deliver       Deliver
+	clock         func() time.Time
+	appends       pond.Pool
+	ctx           context.Context
+	cancel        context.CancelFunc
+	followerGroup sync.WaitGroup
+	// pollWait is how long a read waits for new records.
 	pollWait time.Duration
 
 	mutex     sync.Mutex
@@ -46,7 +46,7 @@
 	outages   *outages
 }
 
-// NewLog makes a client of the log at the base URLs; logger is told of outages.
+// NewLog returns a client of the log at the base URLs, which logs outages to logger.
 func NewLog(urls []string, deliver Deliver, clock func() time.Time, logger logrus.FieldLogger) *Log {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Log{
@@ -64,21 +64,21 @@
 	return l
 }
 
-// Appends is the number of appends that the log has confirmed.
-func (l *Log) Appends() int64 { return l.made.Load() }
+// Appends returns the number of appends that the log has confirmed.
+func (l *Log) Appends() int64 { return l.confirmed.Load() }
 
-// Traffic counts what this client sent and received.
+// Traffic returns the counters of bytes that this client sent and received.
 func (l *Log) Traffic() *Traffic { return &l.traffic }
 
-// Close ends all reading and waits for the appends under way.
+// Close stops all followers and waits for the appends in progress.
 func (l *Log) Close() {
 	l.cancel()
 	l.appends.StopAndWait()
-	l.group.Wait()
+	l.followerGroup.Wait()
 }
 
-// Append writes a record in the background and delivers LogAppended. False: too
-// many appends wait, nothing was sent and nothing will be delivered.
+// Append writes a record in the background and delivers LogAppended. It returns false
+// if too many appends wait; then nothing is sent and nothing is delivered.
 func (l *Log) Append(a entry.Append) bool {
 	_, taken := l.appends.TrySubmit(func() {
 		offset, err := l.AppendNow(a.Stream, a.Data)
@@ -87,7 +87,8 @@
 	return taken
 }
 
-// appended forms the core's input: Failed only for a definite no.
+// appended returns the core's input; Failed is set only if the append certainly had no
+// effect.
 func appended(tag uint64, offset int64, err error) entry.LogAppended {
 	if err == nil {
 		return entry.LogAppended{Tag: tag, Offset: offset}
@@ -95,11 +96,12 @@
 	return entry.LogAppended{Tag: tag, Offset: unknownOffset, Failed: definite(err)}
 }
 
-// unknownOffset stands where the log gave none.
+// unknownOffset is the offset of an append that the log did not confirm.
 const unknownOffset = -1
 
-// AppendNow writes a record and waits. An error wraps ErrRefused (no effect) or
-// ErrUnknown. Another base URL is tried only after a definite no.
+// AppendNow writes a record and waits for the answer. An error wraps ErrRefused (no
+// effect) or ErrUnknown. Another base URL is tried only if the append certainly had no
+// effect.
 func (l *Log) AppendNow(stream record.Stream, data []byte) (int64, error) {
 	var err error
 	for range l.urls {
@@ -110,13 +112,13 @@
 		url := fmt.Sprintf("%s/logs/%s/records", base, stream)
 		err = call(l.client, fasthttp.MethodPost, url, data, appendTimeout, &answer)
 		if err == nil && answer.Offset > 0 {
-			l.made.Add(1)
+			l.confirmed.Add(1)
 			return answer.Offset, nil
 		}
 		if err == nil {
 			return unknownOffset, fmt.Errorf("%w: append answered without an offset", ErrUnknown)
 		}
-		l.moveOn(base)
+		l.useNextURL(base)
 		if !definite(err) {
 			break
 		}
@@ -124,21 +126,22 @@
 	return unknownOffset, classify(err)
 }
 
-// base is the URL in use.
+// base returns the base URL in use.
 func (l *Log) base() string {
 	return l.urls[int(l.current.Load())%len(l.urls)]
 }
 
-// moveOn leaves a URL that failed, unless another call has done so already.
-func (l *Log) moveOn(failed string) {
+// useNextURL switches from a URL that failed to the next one, unless another call has
+// done so already.
+func (l *Log) useNextURL(failed string) {
 	current := l.current.Load()
 	if l.urls[int(current)%len(l.urls)] == failed {
 		l.current.CompareAndSwap(current, current+1)
 	}
 }
 
-// Follow begins to read a stream; a stream followed already goes on as it is.
-// A Back of zero or less means all that the log keeps.
+// Follow starts reading a stream; it has no effect on a stream that is followed
+// already. A Back of zero or less means all records that the log holds.
 func (l *Log) Follow(f entry.Follow) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -147,10 +150,10 @@
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.followers[f.Stream] = cancel
-	l.group.Go(func() { newFollower(ctx, l, f).run() })
+	l.followerGroup.Go(func() { newFollower(ctx, l, f).run() })
 }
 
-// Unfollow ends the reading of a stream. Records read already may still arrive.
+// Unfollow stops reading a stream. Records that were read before may still arrive.
 func (l *Log) Unfollow(u entry.Unfollow) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/logclient/outage.go
+++ b/internal/logclient/outage.go
@@ -10,12 +10,12 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// errAgedOut: the log dropped records before they were read.
-var errAgedOut = errors.New("records aged out before they were read")
+// errAgedOut means that the log dropped records before they were read.
+var errAgedOut = errors.New("records expired before they were read")
 
-// outages tells operators that the log cannot be read, with one line at the
-// beginning and one at the end. An entry follows many streams, and a line for
-// each try of each would bury what else is logged during an outage.
+// outages logs that the log cannot be read, with one line at the beginning and one at
+// the end of an outage. An entry follows many streams; a line for each failed read
+// would hide the other lines during an outage.
 type outages struct {
 	log   logrus.FieldLogger
 	clock func() time.Time
@@ -29,7 +29,7 @@
 	return &outages{log: log, clock: clock, down: make(map[record.Stream]bool)}
 }
 
-func (o *outages) began(stream record.Stream, cause error) {
+func (o *outages) streamDown(stream record.Stream, cause error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(o.down) == 0 {
@@ -40,8 +40,8 @@
 	o.down[stream] = true
 }
 
-// ended is told of a stream that was caught up.
-func (o *outages) ended(stream record.Stream) {
+// streamUp records that a stream has caught up.
+func (o *outages) streamUp(stream record.Stream) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if !o.down[stream] {
@@ -53,9 +53,9 @@
 	}
 }
 
-// forget is told of a stream that is not followed any more. That says nothing of
-// the log, so no line is written.
-func (o *outages) forget(stream record.Stream) {
+// removeStream removes a stream that is no longer followed. That does not show that
+// the log can be read again, so it writes no line.
+func (o *outages) removeStream(stream record.Stream) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.down, stream)
--- a/internal/logclient/outage_test.go
+++ b/internal/logclient/outage_test.go
@@ -12,7 +12,7 @@
 	"sycamoretrail/internal/core/entry"
 )
 
-// quiet is a logger whose lines nobody reads.
+// quiet returns a logger that discards its lines.
 func quiet() logrus.FieldLogger {
 	logger, _ := test.NewNullLogger()
 	return logger
@@ -31,40 +31,40 @@
 	backLine = "info: log can be read again"
 )
 
-var _ = Describe("the operators' view of an outage", func() {
-	// The log goes out for two streams and comes back for one after the other. The
-	// operator reads one line when it begins and one when all is read again.
-	It("is one line at its beginning and one at its end", func() {
+var _ = Describe("the log lines of an outage", func() {
+	// The log fails for two streams, which recover one after the other. One line is
+	// written when the outage begins and one when all streams can be read again.
+	It("are one line at its beginning and one at its end", func() {
 		logger, hook := test.NewNullLogger()
 		now := time.Unix(1000, 0)
 		o := newOutages(logger, func() time.Time { return now })
-		o.ended("documents")
+		o.streamUp("documents")
 		Expect(lines(hook)).To(BeEmpty())
-		o.began("documents", errors.New("status 503"))
-		o.began("claims-1", errors.New("status 503"))
-		o.began("documents", errors.New("status 503"))
+		o.streamDown("documents", errors.New("status 503"))
+		o.streamDown("claims-1", errors.New("status 503"))
+		o.streamDown("documents", errors.New("status 503"))
 		now = now.Add(20 * time.Second)
-		o.ended("documents")
+		o.streamUp("documents")
 		Expect(lines(hook)).To(Equal([]string{outLine}))
-		o.ended("claims-1")
+		o.streamUp("claims-1")
 		Expect(lines(hook)).To(Equal([]string{outLine, backLine}))
 		Expect(hook.LastEntry().Data).To(HaveKeyWithValue("seconds", 20.0))
 	})
 
-	It("does not say that the log is back because reading it was given up", func() {
+	It("do not report the end when a stream is no longer followed", func() {
 		logger, hook := test.NewNullLogger()
 		o := newOutages(logger, time.Now)
-		o.began("claims-1", errors.New("status 503"))
-		o.forget("claims-1")
-		o.ended("claims-1")
+		o.streamDown("claims-1", errors.New("status 503"))
+		o.removeStream("claims-1")
+		o.streamUp("claims-1")
 		Expect(lines(hook)).To(Equal([]string{outLine}))
 	})
 
-	It("is told by a follower", func() {
+	It("are written by a follower", func() {
 		log := startLog()
 		logger, hook := test.NewNullLogger()
 		got := &inputs{}
-		l := NewLog([]string{log.url}, got.take, time.Now, logger)
+		l := NewLog([]string{log.url}, got.add, time.Now, logger)
 		l.pollWait = 0
 		DeferCleanup(l.Close)
 		l.Follow(entry.Follow{Stream: "s"})
--- a/internal/logclient/platform_test.go
+++ b/internal/logclient/platform_test.go
@@ -16,18 +16,19 @@
 	"sycamoretrail/internal/core/entry"
 )
 
-// fakeLog is a log of one stream whose answers a test can spoil.
+// fakeLog is a log of one stream with faults that a test can inject.
 type fakeLog struct {
 	mutex   sync.Mutex
 	url     string
 	first   int64
 	records []item
-	// status other than 0 is answered to all; lose takes effect and then cuts
-	// the connection; absent answers 404 until the first append.
-	status  int
-	lose    bool
-	absent  bool
-	appends int
+	// status, if not 0, is the answer to all calls. With loseAnswers, appends take
+	// effect and the connection is closed without an answer. With absent, reads get
+	// 404 until the first append.
+	status      int
+	loseAnswers bool
+	absent      bool
+	appends     int
 	// seeks counts reads of a single record.
 	seeks int
 }
@@ -69,7 +70,7 @@
 	f.absent = false
 	offset := f.first + int64(len(f.records))
 	f.records = append(f.records, item{Offset: offset, Data: append([]byte(nil), ctx.PostBody()...)})
-	if f.lose {
+	if f.loseAnswers {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -102,14 +103,14 @@
 	ctx.SetBody(data)
 }
 
-// inputs gathers what a client delivers; repeated LogCaughtUp of one offset
-// count once.
+// inputs collects the inputs that a client delivers; repeated LogCaughtUp of one offset
+// are collected once.
 type inputs struct {
 	mutex sync.Mutex
 	list  []entry.Input
 }
 
-func (i *inputs) take(in entry.Input) {
+func (i *inputs) add(in entry.Input) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if caught, ok := in.(entry.LogCaughtUp); ok {
@@ -129,14 +130,14 @@
 }
 
 func client(got *inputs, urls ...string) *Log {
-	l := NewLog(urls, got.take, time.Now, quiet())
+	l := NewLog(urls, got.add, time.Now, quiet())
 	l.pollWait = 0
 	DeferCleanup(l.Close)
 	return l
 }
 
-// deadURL refuses connections.
-func deadURL() string {
+// refusingURL returns a URL whose port refuses connections.
+func refusingURL() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer listener.Close()
@@ -157,39 +158,39 @@
 
 	BeforeEach(func() { log, got = startLog(), &inputs{} })
 
-	It("answers with the offset under its tag", func() {
+	It("delivers the offset with its tag", func() {
 		Expect(client(got, log.url).Append(entry.Append{Tag: 7, Stream: "s", Data: []byte("x")})).To(BeTrue())
 		Eventually(got.seen).Should(Equal([]entry.Input{entry.LogAppended{Tag: 7, Offset: 1}}))
 	})
 
-	// The log takes the record and the connection breaks before its answer. The
-	// core must hear "not known", neither failed nor an offset: told "failed" it
-	// would call a request "not run" whose claim stands. And the client must not
-	// send again by itself, which would be a second record.
+	// The log writes the record and the connection breaks before its answer. The core
+	// must receive neither Failed nor an offset: after Failed it would report "not run"
+	// for a request whose claim is in the log. The client must not retry, which would
+	// write a second record.
 	It("is unknown when its answer is lost, and is not sent again", func() {
-		log.lose = true
+		log.loseAnswers = true
 		client(got, log.url).Append(entry.Append{Tag: 7, Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{entry.LogAppended{Tag: 7, Offset: -1}}))
 		log.change(func() { Expect(log.appends).To(Equal(1)) })
 	})
 
-	DescribeTable("is a definite no only where the log took nothing", func(status int, failed bool) {
+	DescribeTable("has failed only where the log certainly wrote nothing", func(status int, failed bool) {
 		log.status = status
 		client(got, log.url).Append(entry.Append{Tag: 7, Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{entry.LogAppended{Tag: 7, Offset: -1, Failed: failed}}))
 	},
-		Entry("outage", 503, true), Entry("over its rate", 429, true), Entry("malformed", 400, true),
+		Entry("outage", 503, true), Entry("rate limit exceeded", 429, true), Entry("malformed", 400, true),
 		Entry("fault inside the log", 500, false), Entry("gateway timeout", 504, false))
 
 	It("tries the next URL after a refused connection, and fails when all refuse", func() {
-		Expect(client(got, deadURL(), log.url).AppendNow("s", []byte("x"))).To(Equal(int64(1)))
-		_, err := client(got, deadURL(), deadURL()).AppendNow("s", nil)
+		Expect(client(got, refusingURL(), log.url).AppendNow("s", []byte("x"))).To(Equal(int64(1)))
+		_, err := client(got, refusingURL(), refusingURL()).AppendNow("s", nil)
 		Expect(err).To(MatchError(ErrRefused))
 	})
 
 	It("does not try another URL when the answer was lost", func() {
 		second := startLog()
-		log.lose = true
+		log.loseAnswers = true
 		_, err := client(got, log.url, second.url).AppendNow("s", nil)
 		Expect(err).To(MatchError(ErrUnknown))
 		Expect(errors.Is(err, ErrRefused)).To(BeFalse())
@@ -205,7 +206,7 @@
 
 	BeforeEach(func() { log, got = startLog(), &inputs{} })
 
-	It("delivers records in order, then says that it has caught up, and goes on", func() {
+	It("delivers records in order, then reports that it has caught up, and continues", func() {
 		for offset := int64(1); offset <= 600; offset++ {
 			log.records = append(log.records, item{Offset: offset, AgeMS: 5, Data: []byte("old")})
 		}
@@ -221,7 +222,7 @@
 		Expect(got.seen()[601:]).To(Equal([]entry.Input{logRecord(601, 0, "new"), caughtUp(602)}))
 	})
 
-	It("begins with the first record that is no older than it was told", func() {
+	It("begins with the first record that is no older than Back", func() {
 		for offset := int64(1); offset <= 1000; offset++ {
 			log.records = append(log.records, item{Offset: offset, AgeMS: 1001 - offset, Data: []byte("x")})
 		}
@@ -229,18 +230,18 @@
 		Eventually(got.seen).Should(Equal([]entry.Input{
 			logRecord(998, 3*time.Millisecond, "x"), logRecord(999, 2*time.Millisecond, "x"), logRecord(1000, time.Millisecond, "x"), caughtUp(1001),
 		}))
-		log.change(func() { Expect(log.seeks).To(BeNumerically("<", 20), "the start was found by halving") })
+		log.change(func() { Expect(log.seeks).To(BeNumerically("<", 20), "the start must be found by binary search") })
 	})
 
-	It("takes a stream that does not exist yet as empty", func() {
+	It("treats a stream that does not exist yet as empty", func() {
 		log.absent = true
 		client(got, log.url).Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1)}))
 	})
 
-	// The log is out for a while and comes back with a record more. The core hears
-	// LogDown once, so that it trusts no verdict meanwhile, then the record that it
-	// missed, and only after that that it has caught up.
+	// The log is unavailable for some time and recovers with one more record. The core
+	// receives LogDown once, so that it makes no decision on an outdated stream, then
+	// the missed record, and only then LogCaughtUp.
 	It("reports an outage once, and then catches up", func() {
 		client(got, log.url).Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1)}))
@@ -253,9 +254,9 @@
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1), entry.LogDown{Stream: "s"}, logRecord(1, 0, "x"), caughtUp(2)}))
 	})
 
-	// While the client could not read, records aged out. What it delivers next has
-	// a gap before it, so the core must stop to trust what it knew of the stream.
-	It("reports records that aged out unread as an outage", func() {
+	// Records expired before the client read them. There is a gap before the next
+	// record, so the core must not rely on its state of the stream any more.
+	It("reports records that expired unread as an outage", func() {
 		client(got, log.url).Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1)}))
 		log.change(func() {
@@ -266,13 +267,13 @@
 	})
 
 	It("uses the next URL when one fails, without an outage", func() {
-		client(got, deadURL(), log.url).Follow(entry.Follow{Stream: "s"})
+		client(got, refusingURL(), log.url).Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1)}))
 	})
 
-	// An answer says that all was read "as of" an instant. Taken after the read,
-	// a record appended in between would count as not there, and a key could be
-	// claimed twice; so the instant is read off the clock before the read begins.
+	// LogCaughtUp states that all records up to an instant have been read. If the
+	// clock were read after the read, a record appended in between would count as
+	// absent, and a key could be claimed twice.
 	It("takes the instant of LogCaughtUp before the read", func() {
 		var mutex sync.Mutex
 		var first time.Time
@@ -296,13 +297,13 @@
 		Expect(first).To(Equal(began))
 	})
 
-	It("ends with Unfollow, and may begin again", func() {
+	It("ends with Unfollow, and can be started again", func() {
 		l := client(got, log.url)
 		l.Follow(entry.Follow{Stream: "s"})
 		l.Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1)}))
 		l.Unfollow(entry.Unfollow{Stream: "s"})
-		l.group.Wait()
+		l.followerGroup.Wait()
 		log.change(func() { log.records = append(log.records, item{Offset: 1, Data: []byte("x")}) })
 		l.Follow(entry.Follow{Stream: "s"})
 		Eventually(got.seen).Should(Equal([]entry.Input{caughtUp(1), logRecord(1, 0, "x"), caughtUp(2)}))
@@ -310,7 +311,7 @@
 })
 
 var _ = Describe("the instance list", func() {
-	It("is read and failures change nothing", func() {
+	It("is read, and failures have no effect", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
@@ -321,7 +322,7 @@
 		var took []entry.InstanceList
 		var failed []error
 		NewInstances("http://"+listener.Addr().String()).Poll(ctx, func(l entry.InstanceList) { took = append(took, l) }, func(err error) { failed = append(failed, err) })
-		NewInstances(deadURL()).Poll(ctx, func(l entry.InstanceList) { took = append(took, l) }, func(err error) { failed = append(failed, err) })
+		NewInstances(refusingURL()).Poll(ctx, func(l entry.InstanceList) { took = append(took, l) }, func(err error) { failed = append(failed, err) })
 		Expect(took).To(Equal([]entry.InstanceList{rows}))
 		Expect(failed).To(HaveLen(1))
 	})
--- a/internal/logclient/suite_test.go
+++ b/internal/logclient/suite_test.go
@@ -9,5 +9,5 @@
 
 func TestSuite(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "platform")
+	RunSpecs(t, "logclient")
 }
--- a/internal/logclient/traffic.go
+++ b/internal/logclient/traffic.go
@@ -6,14 +6,14 @@
 )
 
 // Traffic counts the bytes that a client of the platform sent and received,
-// HTTP headers included, TCP and IP headers not.
+// including HTTP headers but not TCP and IP headers.
 type Traffic struct{ sent, received atomic.Int64 }
 
-// Sent and Received read the counters.
+// Sent and Received return the counters.
 func (t *Traffic) Sent() int64     { return t.sent.Load() }
 func (t *Traffic) Received() int64 { return t.received.Load() }
 
-// meteredConn is a connection whose bytes are counted.
+// meteredConn is a connection that counts its bytes.
 type meteredConn struct {
 	net.Conn
 	traffic *Traffic
