--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,6 +1,6 @@
-// Package prompt reads the body of an OpenAI-compatible request and describes
-// its prompt: size in tokens and hashes of its leading blocks. Callers' edge and
-// engine stand-in share it, so that both name the same prefix by the same hash.
+// Package prompt parses the body of an OpenAI-compatible request and describes
+// its prompt: size in tokens and hashes of its leading blocks. The callers' edge and
+// the engine stand-in share it, so that both have the same hash for a prefix.
 package prompt
 
 import (
@@ -14,7 +14,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// BytesPerToken is the estimate by which bytes of text count as tokens.
+// BytesPerToken is the estimated number of bytes of text per token.
 const BytesPerToken = 4
 
 const blockBytes = request.PrefixBlockTokens * BytesPerToken
@@ -23,7 +23,7 @@
 var ErrMalformed = errors.New("malformed request body")
 
 // Describe returns the estimated tokens of a text (rounded up) and cumulative
-// xxhash64 sums over its whole blocks, shortest prefix first.
+// xxhash64 sums over its complete blocks, shortest prefix first.
 func Describe(text string) (tokens int, prefixes []uint64) {
 	tokens = (len(text) + BytesPerToken - 1) / BytesPerToken
 	digest := xxhash.New()
@@ -34,8 +34,8 @@
 	return tokens, prefixes
 }
 
-// Content is a message's content: a string, or a list of parts of which only
-// the text counts.
+// Content is the text of a message's content, which is a string or a list of parts.
+// Only the text of the parts is kept.
 type Content string
 
 // UnmarshalJSON accepts both shapes.
@@ -65,7 +65,7 @@
 	Content Content `json:"content"`
 }
 
-// Body is what we read of a completion request; other fields are passed over.
+// Body holds the fields of a completion request that are used; others are ignored.
 type Body struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -74,7 +74,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// Parse reads a request body.
+// Parse decodes a request body.
 func Parse(data []byte) (Body, error) {
 	var body Body
 	if err := json.Unmarshal(data, &body); err != nil {
@@ -86,8 +86,8 @@
 	return body, nil
 }
 
-// Text is the prompt's text: the messages' contents one after the other, or the
-// plain prompt where there are none.
+// Text returns the text of the prompt: the concatenated contents of the messages, or
+// the plain prompt if there are none.
 func (b Body) Text() string {
 	if len(b.Messages) == 0 {
 		return string(b.Prompt)
--- a/internal/prompt/prompt_test.go
+++ b/internal/prompt/prompt_test.go
@@ -19,7 +19,7 @@
 const blockBytes = request.PrefixBlockTokens * prompt.BytesPerToken
 
 var _ = Describe("Describe", func() {
-	It("names equal beginnings alike, and all that follows a difference otherwise", func() {
+	It("returns equal hashes for equal prefixes, and other hashes from the first difference on", func() {
 		head := strings.Repeat("a", 2*blockBytes)
 		tokensA, a := prompt.Describe(head + strings.Repeat("b", blockBytes) + "tail")
 		_, b := prompt.Describe(head + strings.Repeat("c", blockBytes))
