--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -1,20 +1,20 @@
-// Package reasons says in words why a request ended as it did, and what an
-// operator or a caller can do, for sycamorectl explain, the decision log and the
-// operators' pages.
+// Package reasons explains the reasons with which requests end, and what an operator
+// or a caller can do about them. sycamorectl explain, the decision log and the
+// operators' pages show these texts.
 package reasons
 
 import "sycamoretrail/internal/core/outcome"
 
-// Words explain one reason.
-type Words struct {
-	// Meaning is a sentence without its full stop, Remedy an advice.
+// Explanation explains one reason.
+type Explanation struct {
+	// Meaning is a sentence without its full stop, Remedy a piece of advice.
 	Meaning, Remedy string
 }
 
-// Of explains a reason; the zero Words for ReasonNone and unknown reasons.
-func Of(reason outcome.Reason) Words { return words[reason] }
+// Of returns the explanation of a reason; it is zero for ReasonNone and unknown reasons.
+func Of(reason outcome.Reason) Explanation { return explanations[reason] }
 
-var words = map[outcome.Reason]Words{
+var explanations = map[outcome.Reason]Explanation{
 	outcome.ReasonMalformed: {
 		"the request could not be read, or a header field or the body is not as docs/API.md says",
 		"the answer's detail names the part; the caller mends it"},
--- a/internal/reasons/reasons_test.go
+++ b/internal/reasons/reasons_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "reasons")
 }
 
-// constants reads the values of all constants of type Reason from the source.
+// constants returns the values of all constants of type Reason, read from the source.
 func constants() []outcome.Reason {
 	file, err := parser.ParseFile(token.NewFileSet(), "../core/outcome/outcome.go", nil, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -48,17 +48,17 @@
 }
 
 var _ = Describe("reasons", func() {
-	It("are all explained, each constant once and nothing else", func() {
+	It("are all explained, with one explanation per constant and no other", func() {
 		all := constants()
 		Expect(len(all)).To(BeNumerically(">", 20))
-		Expect(words).To(HaveLen(len(all)))
+		Expect(explanations).To(HaveLen(len(all)))
 		for _, reason := range all {
 			Expect(Of(reason).Meaning).NotTo(BeEmpty(), string(reason))
 			Expect(Of(reason).Remedy).NotTo(BeEmpty(), string(reason))
 		}
 	})
 
-	It("stand in the operators' page in the same words", func() {
+	It("are listed in the operators' page with the same texts", func() {
 		page, err := os.ReadFile("../../docs/operators/reasons.md")
 		Expect(err).NotTo(HaveOccurred())
 		rows := regexp.MustCompile("(?m)^\\| `.*$").FindAllString(string(page), -1)
@@ -70,7 +70,7 @@
 		Expect(rows).To(Equal(want), "the rows must be:\n"+strings.Join(want, "\n"))
 	})
 
-	It("stand in the callers' page with a status", func() {
+	It("are listed in the callers' page", func() {
 		page, err := os.ReadFile("../../docs/API.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, reason := range constants() {
