--- a/internal/recording/line.go
+++ b/internal/recording/line.go
@@ -12,12 +12,12 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// describe forms the line of a request.
+// describe returns the line of a request.
 func (r *Recorder) describe(a Arrival) trace.Line {
 	req := &a.Request
-	// Requests of several connections may reach the ring out of order, by less
-	// than the writer needs for a line; a trace's times never go back.
-	r.lastMS = max(r.lastMS, req.Arrived.Sub(r.began).Milliseconds())
+	// Requests of several connections may reach the ring slightly out of order, by less
+	// time than the writer needs for a line; the times of a trace must not decrease.
+	r.lastMS = max(r.lastMS, req.Arrived.Sub(r.start).Milliseconds())
 	line := trace.Line{
 		AtMS:         r.lastMS,
 		Organisation: req.Organisation,
@@ -29,7 +29,7 @@
 	if req.Key != "" {
 		line.Key = r.hash.text("key", string(req.Key))
 	}
-	if before, found := r.seen.ids[req.ID]; found {
+	if before, found := r.history.ids[req.ID]; found {
 		line.Resend = &trace.Resend{Of: before.line, AfterMS: r.lastMS - before.atMS, SameID: true}
 	}
 	if req.Kind == request.Service {
@@ -50,12 +50,12 @@
 	return until.Sub(from).Milliseconds()
 }
 
-// sharedPrefix names the longest beginning of the prompt that an earlier one of
-// the recording had. The first request of each beginning has none, so a replay
-// computes it once more than the engines did.
+// sharedPrefix returns the longest prefix that the prompt shares with an earlier one of
+// the recording. The first request with a prefix has none, so a replay computes each
+// prefix once more than the engines did.
 func (r *Recorder) sharedPrefix(req *request.Request) *trace.Prefix {
 	for i := len(req.Prefixes) - 1; i >= 0; i-- {
-		if r.seen.prefixes[req.Prefixes[i]] {
+		if r.history.prefixes[req.Prefixes[i]] {
 			return &trace.Prefix{
 				ID:     r.hash.number("prefix", req.Prefixes[i]),
 				Tokens: (i + 1) * request.PrefixBlockTokens,
@@ -65,17 +65,18 @@
 	return nil
 }
 
-// hasher makes keyed hashes. Plain ones of short texts are undone by trying all.
+// hasher computes keyed hashes. A short text could be recovered from its plain hash by
+// trying all texts.
 type hasher struct{ key []byte }
 
 const (
 	keyLabel = "sycamoretrail trace"
-	// hashBytes of a hash keep chance collisions out of any recording.
+	// hashBytes is long enough to avoid accidental collisions within a recording.
 	hashBytes = 8
 )
 
-// newHasher derives a key of its own, so that no hash in the file helps with
-// anything else that the secret protects.
+// newHasher derives a separate key from the secret, so that the hashes in the file
+// reveal nothing that helps to attack other uses of the secret.
 func newHasher(secret []byte) hasher {
 	mac := hmac.New(sha256.New, secret)
 	_, _ = mac.Write([]byte(keyLabel))
@@ -96,30 +97,30 @@
 	return hex.EncodeToString(mac.Sum(nil)[:hashBytes])
 }
 
-// Bounds of what the writer remembers of earlier lines.
+// Bounds of the history of earlier lines.
 const (
 	maxIDs      = 16384
 	maxPrefixes = 65536
 )
 
-// written is an earlier line.
+// written identifies an earlier line.
 type written struct {
 	line int
 	atMS int64
 }
 
-// memory holds ids and prompts' beginnings of earlier lines. When one of its maps
-// is full it begins anew: what was forgotten counts as not seen.
-type memory struct {
+// history holds the ids and the prompt prefixes of earlier lines. A map that is full is
+// cleared; the entries that it had count as new when they occur again.
+type history struct {
 	ids      map[ident.RequestID]written
 	prefixes map[uint64]bool
 }
 
-func newMemory() *memory {
-	return &memory{ids: make(map[ident.RequestID]written), prefixes: make(map[uint64]bool)}
+func newHistory() *history {
+	return &history{ids: make(map[ident.RequestID]written), prefixes: make(map[uint64]bool)}
 }
 
-func (m *memory) add(req *request.Request, line int, atMS int64) {
+func (m *history) add(req *request.Request, line int, atMS int64) {
 	if len(m.ids) >= maxIDs {
 		clear(m.ids)
 	}
--- a/internal/recording/recording.go
+++ b/internal/recording/recording.go
@@ -1,9 +1,9 @@
-// Package recording writes a trace of the requests that an entry takes, in the
-// form that sycamore-replay reads: when they came, their sizes, tiers and bounds.
-// Content never reaches it, and whatever could be guessed from a plain hash (a
-// service call's path, an idempotency key, the prompt's beginning) is written as
-// a keyed hash. Entries with the same key write the same hash for the same thing,
-// so that their traces can be put together.
+// Package recording writes a trace of the requests that an entry accepts, in the
+// format that sycamore-replay reads: their arrival times, sizes, tiers and deadlines.
+// The trace has no content of requests. Values that could be guessed from a plain
+// hash (a service call's path, an idempotency key, the start of a prompt) are written
+// as keyed hashes. Entries with the same key write the same hash for the same value,
+// so that their traces can be merged.
 package recording
 
 import (
@@ -23,19 +23,19 @@
 const (
 	// RingSize bounds the requests that wait to be written.
 	RingSize = 4096
-	// MaxBytes bounds the file. Instances have no disks, so it takes memory.
+	// MaxBytes bounds the file. Instances have no disks, so the file takes memory.
 	MaxBytes = 64 << 20
-	// flushEvery is how long a line may stay in the buffer.
-	flushEvery = time.Second
-	fileMode   = 0o600
-	// Deployment stands in the header; no example document has this name.
+	// flushInterval is how long a line may stay in the buffer.
+	flushInterval = time.Second
+	fileMode      = 0o600
+	// Deployment is the deployment in the header; no example document has this name.
 	Deployment = "recorded"
 )
 
 // ErrFile is wrapped by errors of the file.
 var ErrFile = errors.New("trace file")
 
-// Arrival is one request as it was taken.
+// Arrival is one accepted request.
 type Arrival struct {
 	Request request.Request
 	// Tier is the tier's name.
@@ -44,7 +44,7 @@
 	Method, Path string
 }
 
-// Recorder writes arrivals on a goroutine of its own.
+// Recorder writes arrivals on a separate goroutine.
 type Recorder struct {
 	arrivals chan Arrival
 	done     chan struct{}
@@ -52,19 +52,19 @@
 	written  atomic.Int64
 	dropped  atomic.Int64
 
-	out   *bufio.Writer
-	file  io.Closer
-	bytes int
-	hash  hasher
-	seen  *memory
-	began time.Time
-	// lastMS is the time of the line written last, and lines their number.
+	out     *bufio.Writer
+	file    io.Closer
+	bytes   int
+	hash    hasher
+	history *history
+	start   time.Time
+	// lastMS is the time of the last line, and lines the number of lines.
 	lastMS int64
 	lines  int
 }
 
-// Open makes the file, writes the trace's header and starts the writer. The key
-// is secret; began is the instant from which the trace counts.
+// Open creates the file, writes the trace's header and starts the writer. The key
+// is secret; the times of the trace count from began.
 func Open(path, name string, key []byte, began time.Time) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -87,13 +87,13 @@
 		out:      bufio.NewWriter(file),
 		file:     file,
 		hash:     newHasher(key),
-		seen:     newMemory(),
-		began:    began,
+		history:  newHistory(),
+		start:    began,
 	}
 }
 
-// header writes the first line. The duration is not known yet: replays take the
-// last line's time.
+// header writes the first line. It has no duration, which is not known yet; replays
+// use the time of the last line.
 func (r *Recorder) header(name string) error {
 	header := trace.Header{Format: trace.FormatVersion, Name: name, Deployment: Deployment, Scenario: Deployment}
 	if err := r.line(header); err != nil {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Arrived takes note of a request and never waits: with the ring full it is left
-// out and counted.
+// Arrived enqueues a request and never blocks: if the ring is full, the request is
+// dropped and counted.
 func (r *Recorder) Arrived(a Arrival) {
 	select {
 	case r.arrivals <- a:
@@ -112,13 +112,15 @@
 	}
 }
 
-// Written and Dropped count requests since the start.
+// Written returns the number of requests written since the start.
 func (r *Recorder) Written() int64 { return r.written.Load() }
 
-// Dropped counts those that the ring or the file had no room for.
+// Dropped returns the number of requests dropped since the start, because the ring or
+// the file was full.
 func (r *Recorder) Dropped() int64 { return r.dropped.Load() }
 
-// Close writes what waits and closes the file. Arrived must not be called after.
+// Close writes the waiting requests and closes the file. Arrived must not be called
+// afterwards.
 func (r *Recorder) Close() error {
 	close(r.done)
 	<-r.ended
@@ -130,7 +132,7 @@
 
 func (r *Recorder) run() {
 	defer close(r.ended)
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -161,7 +163,7 @@
 		r.dropped.Add(1)
 		return
 	}
-	r.seen.add(&a.Request, r.lines, r.lastMS)
+	r.history.add(&a.Request, r.lines, r.lastMS)
 	r.lines++
 	r.written.Add(1)
 }
--- a/internal/recording/recording_test.go
+++ b/internal/recording/recording_test.go
@@ -24,7 +24,7 @@
 	key   = []byte("the entries' shared key, 32 bytes and more")
 )
 
-// arrivalOf is the request that the line at an index of a trace makes.
+// arrivalOf returns the request of the line at an index of a trace.
 func arrivalOf(doc *document.Document, index int, line *trace.Line) Arrival {
 	rank, _ := doc.TierRank(line.Tier)
 	at := began.Add(line.At())
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("a recording", func() {
-	It("can be replayed, with as many requests and as much work as were recorded", func() {
+	It("can be replayed, with the recorded number of requests and prompt tokens", func() {
 		doc := examples.Tanglaw()
 		made, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Scenario: trace.Usual, Seed: 3, Load: 0.5, Seconds: 5})
 		Expect(err).NotTo(HaveOccurred())
@@ -76,7 +76,7 @@
 		Expect(told.Answered).To(BeNumerically(">", len(made.Lines)*9/10))
 	})
 
-	It("ties a request that was sent again to its first line, in order of time", func() {
+	It("links a resent request to its first line, with times that do not decrease", func() {
 		var out buffer
 		r := newRecorder(&out, key, began)
 		Expect(r.header("entry-1")).To(Succeed())
@@ -90,17 +90,17 @@
 		Expect(recorded.Lines[2].Resend).To(Equal(&trace.Resend{Of: 0, AfterMS: 0, SameID: true}))
 	})
 
-	// The writer falls behind, because the file's memory is slow. A request must
-	// not wait for it: what the ring does not take is left out and counted.
-	It("never holds a request up", func() {
-		r := newRecorder(&buffer{}, key, began) // its goroutine was not started
+	// The writer falls behind, as if writing to the file were slow. Requests must not
+	// wait for it: those that do not fit the ring are dropped and counted.
+	It("never blocks a request", func() {
+		r := newRecorder(&buffer{}, key, began) // its goroutine is not started
 		for range RingSize + 5 {
 			r.Arrived(Arrival{})
 		}
 		Expect(r.Dropped()).To(BeEquivalentTo(5))
 	})
 
-	It("stops at its bound and counts what is left out", func() {
+	It("stops at its size limit and counts the dropped requests", func() {
 		r := newRecorder(&buffer{}, key, began)
 		r.bytes = MaxBytes
 		r.write(Arrival{Tier: "t"})
@@ -108,7 +108,7 @@
 		Expect(r.Written()).To(BeZero())
 	})
 
-	It("writes the same hash at each entry with the key, and another with another", func() {
+	It("writes the same hashes at entries with the same key, and other hashes with another key", func() {
 		a, b, c := newHasher(key), newHasher(key), newHasher([]byte("another key of thirty-two bytes."))
 		Expect(a.text("key", "x")).To(Equal(b.text("key", "x")))
 		Expect(a.text("key", "x")).NotTo(Equal(c.text("key", "x")))
@@ -116,7 +116,7 @@
 	})
 })
 
-// buffer is a file in memory.
+// buffer is an in-memory file.
 type buffer struct{ bytes.Buffer }
 
 func (*buffer) Close() error { return nil }
