--- a/internal/callers/admit.go
+++ b/internal/callers/admit.go
@@ -139,7 +139,7 @@
 }
 
 func (c *call) chooseTier() (request.Tier, error) {
-	name := c.org.first
+	name := c.org.defaultTier
 	if asked := c.ctx.Request.Header.Peek(headerTier); len(asked) > 0 {
 		name = string(asked)
 	}
--- a/internal/callers/answering_test.go
+++ b/internal/callers/answering_test.go
@@ -18,13 +18,13 @@
 	// beyondBuffers is more than the socket buffers of both sides hold.
 	const beyondBuffers = 32 << 20
 
-	// lastTold returns the count that was last reported to the core, or -1.
-	lastTold := func(n *node) int {
-		told := all[entry.Answering](n.core)
-		if len(told) == 0 {
+	// lastReported returns the count that was last reported to the core, or -1.
+	lastReported := func(n *node) int {
+		reported := all[entry.Answering](n.core)
+		if len(reported) == 0 {
 			return -1
 		}
-		return told[len(told)-1].Open
+		return reported[len(reported)-1].Open
 	}
 
 	// The caller receives every byte. When the run has ended, the core holds nothing
@@ -38,14 +38,14 @@
 		defer func() { _ = resp.Body.Close() }()
 		Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		Eventually(func() []entry.RunEnded { return all[entry.RunEnded](n.core) }, "10s").Should(HaveLen(1))
-		Expect(lastTold(n)).To(Equal(-1))
+		Expect(lastReported(n)).To(Equal(-1))
 		n.inState(message.Draining)
-		Eventually(func() int { return lastTold(n) }).Should(Equal(1))
-		Consistently(func() int { return lastTold(n) }, "300ms").Should(Equal(1))
+		Eventually(func() int { return lastReported(n) }).Should(Equal(1))
+		Consistently(func() int { return lastReported(n) }, "300ms").Should(Equal(1))
 		read, err := io.Copy(io.Discard, resp.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(BeNumerically(">=", beyondBuffers))
-		Eventually(func() int { return lastTold(n) }).Should(BeZero())
+		Eventually(func() int { return lastReported(n) }).Should(BeZero())
 	},
 		Entry("complete answer", "/v1/services/slots/reserve", "", func(ctx *fasthttp.RequestCtx) {
 			ctx.SetBodyString(strings.Repeat("x", beyondBuffers))
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -23,7 +23,7 @@
 	"sycamoretrail/internal/flight"
 )
 
-// Core takes the inputs of the entry's state machine.
+// Core accepts the inputs of the entry's state machine.
 type Core interface {
 	// Submit queues an input; it returns false when the ring is full.
 	Submit(entry.Input) bool
--- a/internal/callers/entries.go
+++ b/internal/callers/entries.go
@@ -52,12 +52,12 @@
 		GoodForMS: view.GoodFor.Milliseconds(),
 		IDPrefix:  string(view.Prefix),
 	}
-	for _, near := range []bool{true, false} {
+	for _, sameZone := range []bool{true, false} {
 		var others []EntryRow
 		for _, m := range view.Entries {
 			row := EntryRow{Name: m.Name, Address: m.CallerAddress, Zone: m.Zone}
 			switch {
-			case (m.Zone == zone) != near:
+			case (m.Zone == zone) != sameZone:
 			case view.Owns(m):
 				answer.Entries = append(answer.Entries, row)
 			default:
--- a/internal/callers/failure_test.go
+++ b/internal/callers/failure_test.go
@@ -85,12 +85,12 @@
 			n.flights.Settle(entry.Settle{ID: s.Request.ID, Status: outcome.Undetermined(outcome.ReasonOwnerUnreachable, "")})
 		})
 		id := map[string]string{"X-Request-Id": "fedcba9876543210-1.0.x"}
-		resp, body := n.call("POST", "/v1/chat/completions", wholeBody, id)
+		resp, body := n.call("POST", "/v1/chat/completions", nonStreamingBody, id)
 		Expect(resp.StatusCode).To(Equal(502))
 		Expect(refusal(body).Ran).To(BeEquivalentTo("unknown"))
 		n.core.answerWith(found)
 		for range 2 {
-			resp, body = n.call("POST", "/v1/chat/completions", wholeBody, id)
+			resp, body = n.call("POST", "/v1/chat/completions", nonStreamingBody, id)
 			Expect(resp.StatusCode).To(Equal(200), "%s", body)
 		}
 		Expect(posts.Load()).To(Equal(int32(1)))
@@ -110,9 +110,9 @@
 		})
 		other.call("POST", "/v1/chat/completions", chatBody, id)
 		_, body := other.call("GET", "/v1/streams/"+resp.Header.Get("X-Stream-Token"), "", nil)
-		_, chunks, mark := readStream(body)
+		_, chunks, endEvent := readStream(body)
 		Expect(chunks).To(HaveLen(1))
-		Expect(mark.Outcome).To(Equal("answered"))
+		Expect(endEvent.Outcome).To(Equal("answered"))
 		Expect(engine.posts.Load()).To(Equal(int32(1)))
 	})
 })
@@ -134,10 +134,10 @@
 		}}
 		n := newNode(engine.start(), "")
 		_, body := n.call("POST", "/v1/chat/completions", chatBody, nil)
-		ids, chunks, mark := readStream(body)
+		ids, chunks, endEvent := readStream(body)
 		Expect(ids).To(Equal([]string{"0", "1", "2", "3"}))
 		Expect(chunks[2]).To(ContainSubstring("t2"))
-		Expect(mark.Outcome).To(Equal("answered"))
+		Expect(endEvent.Outcome).To(Equal("answered"))
 		Expect(engine.posts.Load()).To(Equal(int32(1)))
 	})
 
@@ -156,10 +156,10 @@
 		}}
 		n := newNode(engine.start(), "")
 		_, body := n.call("POST", "/v1/chat/completions", chatBody, nil)
-		ids, chunks, mark := readStream(body)
+		ids, chunks, endEvent := readStream(body)
 		Expect(ids).To(Equal([]string{"0", "1", "2"}))
 		Expect(chunks[1]).To(ContainSubstring("t1"))
-		Expect(mark.Chunks).To(Equal(3))
+		Expect(endEvent.Chunks).To(Equal(3))
 	})
 
 	// The caller receives the outcome ran_in_part after the tokens that arrived. The
@@ -175,10 +175,10 @@
 		n := newNode(engine.start(), "")
 		resp, body := n.call("POST", "/v1/chat/completions", chatBody, nil)
 		Expect(resp.StatusCode).To(Equal(200))
-		_, chunks, mark := readStream(body)
+		_, chunks, endEvent := readStream(body)
 		Expect(chunks).To(HaveLen(1))
-		Expect(mark.Outcome).To(Equal("ran_in_part"))
-		Expect(mark.Reason).To(Equal("target_failed"))
+		Expect(endEvent.Outcome).To(Equal("ran_in_part"))
+		Expect(endEvent.Reason).To(Equal("target_failed"))
 		Expect(engine.posts.Load()).To(Equal(int32(1)))
 	})
 
@@ -259,9 +259,9 @@
 		Expect(all[entry.RunStarted](n.core)).To(BeEmpty())
 	})
 
-	DescribeTable("declares that it did not admit the request", func(said string, result message.Result) {
+	DescribeTable("declares that it did not admit the request", func(notAdmitted string, result message.Result) {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
-			ctx.Response.Header.Set("X-Not-Admitted", said)
+			ctx.Response.Header.Set("X-Not-Admitted", notAdmitted)
 			ctx.SetStatusCode(503)
 		})
 		n := newNode(engine, "")
@@ -284,7 +284,7 @@
 			return chunked(token(0)+token(1)+usageEvent+doneEvent, true)
 		}}
 		n := newNode(engine.start(), "")
-		resp, body := n.call("POST", "/v1/chat/completions", wholeBody, nil)
+		resp, body := n.call("POST", "/v1/chat/completions", nonStreamingBody, nil)
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(resp.Header.Get("X-Outcome")).To(Equal("answered"))
 		Expect(body).To(ContainSubstring(`"content":"t0 t1 "`))
--- a/internal/callers/harness_test.go
+++ b/internal/callers/harness_test.go
@@ -259,7 +259,7 @@
 }
 
 // readStream splits a streamed answer into its numbered chunks and its end event.
-func readStream(body []byte) (ids []string, chunks []string, mark end) {
+func readStream(body []byte) (ids []string, chunks []string, endEvent end) {
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	id, event := "", ""
 	for lines.Scan() {
@@ -270,13 +270,13 @@
 		case name == "event":
 			event = value
 		case name == "data" && event == "outcome":
-			Expect(json.Unmarshal([]byte(value), &mark)).To(Succeed())
+			Expect(json.Unmarshal([]byte(value), &endEvent)).To(Succeed())
 			event = ""
 		case name == "data" && value != "[DONE]":
 			ids, chunks = append(ids, id), append(chunks, value)
 		}
 	}
-	return ids, chunks, mark
+	return ids, chunks, endEvent
 }
 
 // token returns the event of one token, as an engine sends it.
@@ -285,8 +285,8 @@
 }
 
 const (
-	usageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3,\"prompt_tokens_details\":{\"cached_tokens\":2}}}\n\n"
-	doneEvent  = "data: [DONE]\n\n"
-	chatBody   = `{"model":"m1","stream":true,"messages":[{"role":"user","content":"hello there"}]}`
-	wholeBody  = `{"model":"m1","messages":[{"role":"user","content":"hello there"}]}`
+	usageEvent       = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3,\"prompt_tokens_details\":{\"cached_tokens\":2}}}\n\n"
+	doneEvent        = "data: [DONE]\n\n"
+	chatBody         = `{"model":"m1","stream":true,"messages":[{"role":"user","content":"hello there"}]}`
+	nonStreamingBody = `{"model":"m1","messages":[{"role":"user","content":"hello there"}]}`
 )
--- a/internal/callers/index.go
+++ b/internal/callers/index.go
@@ -19,11 +19,11 @@
 }
 
 type organisation struct {
-	name     string
-	tiers    map[string]request.Tier
-	first    string
-	models   map[string]bool
-	services map[string]bool
+	name        string
+	tiers       map[string]request.Tier
+	defaultTier string
+	models      map[string]bool
+	services    map[string]bool
 }
 
 type service struct {
@@ -73,8 +73,8 @@
 		if !known {
 			continue
 		}
-		if org.first == "" {
-			org.first = name
+		if org.defaultTier == "" {
+			org.defaultTier = name
 		}
 		org.tiers[name] = rank
 	}
--- a/internal/callers/pass_test.go
+++ b/internal/callers/pass_test.go
@@ -50,12 +50,12 @@
 		Expect(all[entry.Submit](n.core)[0].Request.Idempotent).To(BeFalse())
 	})
 
-	DescribeTable("are repeatable only for the methods that the document lists", func(method, mark string, want bool) {
+	DescribeTable("are repeatable only for the methods that the document lists", func(method, idempotentHeader string, want bool) {
 		service := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(204) })
 		n := newNode("", service)
 		header := map[string]string{}
-		if mark != "" {
-			header["X-Idempotent"] = mark
+		if idempotentHeader != "" {
+			header["X-Idempotent"] = idempotentHeader
 		}
 		resp, _ := n.call(method, "/v1/services/slots", "", header)
 		Expect(resp.StatusCode).To(Equal(204))
@@ -93,21 +93,21 @@
 })
 
 var _ = Describe("reading an answer again", func() {
-	whole := token(0) + token(1) + token(2) + usageEvent + doneEvent
+	events := token(0) + token(1) + token(2) + usageEvent + doneEvent
 
 	It("gives the rest at the same entry, from its own memory", func() {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
-			ctx.SetBodyString(whole)
+			ctx.SetBodyString(events)
 		})
 		n := newNode(engine, "")
 		resp, first := n.call("POST", "/v1/chat/completions", chatBody, nil)
 		_, _, firstEnd := readStream(first)
 		_, body := n.call("GET", "/v1/streams/"+resp.Header.Get("X-Stream-Token")+"?from=2", "", nil)
-		ids, chunks, mark := readStream(body)
+		ids, chunks, endEvent := readStream(body)
 		Expect(ids).To(Equal([]string{"2", "3"}))
 		Expect(chunks[0]).To(ContainSubstring("t2"))
-		Expect(mark).To(Equal(firstEnd))
+		Expect(endEvent).To(Equal(firstEnd))
 	})
 
 	// The caller loses its entry after token 0 and sends its stream token to another
@@ -120,7 +120,7 @@
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
 			if ctx.IsGet() {
-				ctx.SetBodyString(whole)
+				ctx.SetBodyString(events)
 				return
 			}
 			posts.Add(1)
@@ -135,10 +135,10 @@
 		resp := a.open("POST", "/v1/chat/completions", chatBody, nil)
 		DeferCleanup(resp.Body.Close)
 		_, body := b.call("GET", "/v1/streams/"+resp.Header.Get("X-Stream-Token")+"?from=1", "", nil)
-		ids, _, mark := readStream(body)
+		ids, _, endEvent := readStream(body)
 		Expect(ids).To(Equal([]string{"1", "2", "3"}))
-		Expect(mark.Outcome).To(Equal("answered"))
-		Expect(mark.Chunks).To(Equal(4))
+		Expect(endEvent.Outcome).To(Equal("answered"))
+		Expect(endEvent.Chunks).To(Equal(4))
 		Expect(posts.Load()).To(Equal(int32(1)))
 		Expect(all[entry.Submit](b.core)).To(BeEmpty())
 	})
@@ -146,7 +146,7 @@
 	DescribeTable("refuses invalid calls, but never as not run", func(path, bearer string, code int) {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
-			ctx.SetBodyString(whole)
+			ctx.SetBodyString(events)
 		})
 		n := newNode(engine, "")
 		resp, _ := n.call("POST", "/v1/chat/completions", chatBody, nil)
@@ -170,7 +170,7 @@
 			posts.Add(1)
 			<-release
 			ctx.SetContentType("text/event-stream")
-			ctx.SetBodyString(whole)
+			ctx.SetBodyString(events)
 		})
 		n := newNode(engine, "")
 		dispatch := n.core.decide
--- a/internal/callers/refusal_test.go
+++ b/internal/callers/refusal_test.go
@@ -73,20 +73,20 @@
 	// or its delegate, which were not queried. The outcome is "unknown", so that the
 	// caller tries another entry with the same id instead of running it twice. Only a
 	// request without id and key cannot have been sent before.
-	DescribeTable("before it is submitted to the core", func(header map[string]string, said string) {
+	DescribeTable("before it is submitted to the core", func(header map[string]string, wantRan string) {
 		n := newNode("", "")
 		for _, state := range []message.State{message.Starting, message.Stopped} {
 			n.inState(state)
 			resp, data := n.call("POST", "/v1/services/slots/reserve", "", header)
 			Expect(refusal(data).Reason).To(Equal(outcome.ReasonNotReady))
-			Expect(refusal(data).Ran).To(BeEquivalentTo(said))
+			Expect(refusal(data).Ran).To(BeEquivalentTo(wantRan))
 			Expect(resp.Header.Get("Retry-After")).To(Equal("1"))
 		}
 		n.inState(message.Ready)
 		n.core.full = true
 		_, data := n.call("POST", "/v1/services/slots/reserve", "", header)
 		Expect(refusal(data).Reason).To(Equal(outcome.ReasonEntryFull))
-		Expect(refusal(data).Ran).To(BeEquivalentTo(said))
+		Expect(refusal(data).Ran).To(BeEquivalentTo(wantRan))
 		Expect(all[entry.Submit](n.core)).To(BeEmpty())
 	},
 		Entry("without id and key", nil, "no"),
@@ -97,12 +97,12 @@
 
 	// The caller receives the core's refusal as JSON with a status code, since no
 	// byte of an answer has been sent.
-	DescribeTable("what the core refuses", func(status outcome.Status, code int, said string) {
+	DescribeTable("what the core refuses", func(status outcome.Status, code int, wantRan string) {
 		n := newNode("", "")
 		n.core.answerWith(func(s entry.Submit) { n.flights.Settle(entry.Settle{ID: s.Request.ID, Status: status}) })
 		resp, data := n.call("POST", "/v1/chat/completions", chatBody, nil)
 		Expect(resp.StatusCode).To(Equal(code))
-		Expect(refusal(data).Ran).To(BeEquivalentTo(said))
+		Expect(refusal(data).Ran).To(BeEquivalentTo(wantRan))
 		Expect(refusal(data).RequestID).To(Equal(resp.Header.Get("X-Request-Id")))
 	},
 		Entry("load", outcome.Refused(outcome.ReasonOverload, 0, ""), 503, "no"),
@@ -119,9 +119,9 @@
 		engine := serve(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("{}") })
 		n := newNode(engine, "")
 		id := map[string]string{"X-Request-Id": string(prefix) + "same"}
-		resp, _ := n.call("POST", "/v1/chat/completions", wholeBody, id)
+		resp, _ := n.call("POST", "/v1/chat/completions", nonStreamingBody, id)
 		Expect(resp.StatusCode).To(Equal(200))
-		resp, data := n.call("POST", "/v1/chat/completions", strings.Replace(wholeBody, "hello", "other", 1), id)
+		resp, data := n.call("POST", "/v1/chat/completions", strings.Replace(nonStreamingBody, "hello", "other", 1), id)
 		Expect(resp.StatusCode).To(Equal(400))
 		Expect(refusal(data).Reason).To(Equal(outcome.ReasonMalformed))
 		Expect(all[entry.Submit](n.core)).To(HaveLen(1))
--- a/internal/callers/service.go
+++ b/internal/callers/service.go
@@ -41,11 +41,11 @@
 	req.Fingerprint = serviceFingerprint(c.org.name, name, method, path, body)
 	// The header can only restrict: a method that the document does not list as
 	// repeatable is never repeated.
-	mark, err := c.idempotentHeader(true)
+	idempotent, err := c.idempotentHeader(true)
 	if err != nil {
 		return req, nil, err
 	}
-	req.Idempotent = mark && sv.repeatable[method]
+	req.Idempotent = idempotent && sv.repeatable[method]
 	req.Kind = request.Service
 	req.Pool = sv.pool
 	return req, s.newFlight(c, &req, path, false, body), nil
--- a/internal/callers/streams_test.go
+++ b/internal/callers/streams_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	manyStreams    = 1000
-	tokensOfMany   = 20
-	bytesPerStream = 256 << 10
+	manyStreams     = 1000
+	tokensPerStream = 20
+	bytesPerStream  = 256 << 10
 )
 
 var _ = Describe("many streams", func() {
@@ -32,7 +32,7 @@
 				_, _ = w.WriteString(token(0))
 				_ = w.Flush()
 				<-release
-				for i := 1; i < tokensOfMany; i++ {
+				for i := 1; i < tokensPerStream; i++ {
 					_, _ = w.WriteString(token(i))
 					_ = w.Flush()
 				}
@@ -42,7 +42,7 @@
 		n := newNode(engine, "", func(d *document.Document) { d.Limits.Connections = 2 * manyStreams })
 		before := heap()
 		var all sync.WaitGroup
-		var whole atomic.Int32
+		var complete atomic.Int32
 		for range manyStreams {
 			all.Go(func() {
 				defer GinkgoRecover()
@@ -52,9 +52,9 @@
 				var body strings.Builder
 				_, err := bufio.NewReader(resp.Body).WriteTo(&body)
 				Expect(err).NotTo(HaveOccurred())
-				_, chunks, mark := readStream([]byte(body.String()))
-				if mark.Outcome == "answered" && mark.Chunks == tokensOfMany && len(chunks) == tokensOfMany {
-					whole.Add(1)
+				_, chunks, endEvent := readStream([]byte(body.String()))
+				if endEvent.Outcome == "answered" && endEvent.Chunks == tokensPerStream && len(chunks) == tokensPerStream {
+					complete.Add(1)
 				}
 			})
 		}
@@ -64,7 +64,7 @@
 		Expect(used).To(BeNumerically("<", bytesPerStream))
 		close(release)
 		all.Wait()
-		Expect(whole.Load()).To(Equal(int32(manyStreams)))
+		Expect(complete.Load()).To(Equal(int32(manyStreams)))
 		// The last byte reaches a caller before its flight is counted as ended.
 		Eventually(func() int { return n.flights.Stats().Open }).Should(BeZero())
 	})
--- a/internal/callers/whole.go
+++ b/internal/callers/whole.go
@@ -23,14 +23,14 @@
 }
 
 func endEventData(end *flight.End) []byte {
-	mark, err := json.Marshal(endEvent{
+	data, err := json.Marshal(endEvent{
 		Outcome: end.Status.Outcome, Reason: end.Status.Reason, Chunks: end.Chunks,
 		Checksum: checksumText(end.Checksum), Detail: end.Status.Detail,
 	})
 	if err != nil {
 		return nil
 	}
-	return mark
+	return data
 }
 
 func checksumText(sum uint64) string { return fmt.Sprintf("%016x", sum) }
@@ -63,7 +63,7 @@
 // assemble builds a complete answer from the chunks of a stream, for a caller that
 // asked for a complete answer when the answer had to be read as a stream.
 func assemble(chunks [][]byte) []byte {
-	whole := chunkJSON{}
+	answer := chunkJSON{}
 	texts := make(map[int]*strings.Builder)
 	choices := make(map[int]*choiceJSON)
 	for _, chunk := range chunks {
@@ -71,19 +71,19 @@
 		if json.Unmarshal(chunk, &c) != nil {
 			continue
 		}
-		if whole.ID == "" {
-			whole.ID, whole.Object, whole.Created, whole.Model = c.ID, c.Object, c.Created, c.Model
+		if answer.ID == "" {
+			answer.ID, answer.Object, answer.Created, answer.Model = c.ID, c.Object, c.Created, c.Model
 		}
 		if len(c.Usage) > 0 && string(c.Usage) != "null" {
-			whole.Usage = c.Usage
+			answer.Usage = c.Usage
 		}
 		for i := range c.Choices {
 			addChoice(&c.Choices[i], choices, texts)
 		}
 	}
-	whole.Object = strings.TrimSuffix(whole.Object, ".chunk")
-	whole.Choices = finishChoices(choices, texts)
-	body, err := json.Marshal(whole)
+	answer.Object = strings.TrimSuffix(answer.Object, ".chunk")
+	answer.Choices = finishChoices(choices, texts)
+	body, err := json.Marshal(answer)
 	if err != nil {
 		return nil
 	}
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -77,16 +77,16 @@
 		d.Decision(entry.Decision{Event: entry.EventFloor})
 		d.Close()
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-		left := 0
+		omitted := 0
 		for _, line := range lines {
 			var said struct {
 				Left int `json:"left_out"`
 			}
 			Expect(json.Unmarshal([]byte(line), &said)).To(Succeed())
-			left += said.Left
+			omitted += said.Left
 		}
-		Expect(left).To(BeNumerically(">=", sent-queueLength-1))
-		Expect(left + len(lines)).To(Equal(sent + 1))
+		Expect(omitted).To(BeNumerically(">=", sent-queueLength-1))
+		Expect(omitted + len(lines)).To(Equal(sent + 1))
 	})
 })
 
--- a/internal/recording/line.go
+++ b/internal/recording/line.go
@@ -103,8 +103,8 @@
 	maxPrefixes = 65536
 )
 
-// written identifies an earlier line.
-type written struct {
+// earlierLine identifies an earlier line.
+type earlierLine struct {
 	line int
 	atMS int64
 }
@@ -112,12 +112,12 @@
 // history holds the ids and the prompt prefixes of earlier lines. A map that is full is
 // cleared; the entries that it had count as new when they occur again.
 type history struct {
-	ids      map[ident.RequestID]written
+	ids      map[ident.RequestID]earlierLine
 	prefixes map[uint64]bool
 }
 
 func newHistory() *history {
-	return &history{ids: make(map[ident.RequestID]written), prefixes: make(map[uint64]bool)}
+	return &history{ids: make(map[ident.RequestID]earlierLine), prefixes: make(map[uint64]bool)}
 }
 
 func (m *history) add(req *request.Request, line int, atMS int64) {
@@ -125,7 +125,7 @@
 		clear(m.ids)
 	}
 	if _, known := m.ids[req.ID]; !known {
-		m.ids[req.ID] = written{line: line, atMS: atMS}
+		m.ids[req.ID] = earlierLine{line: line, atMS: atMS}
 	}
 	if len(m.prefixes) >= maxPrefixes {
 		clear(m.prefixes)
--- a/internal/recording/recording_test.go
+++ b/internal/recording/recording_test.go
@@ -70,10 +70,10 @@
 		Expect(prompts).To(BeZero())
 		in, err := virtual.Run(virtual.Options{Trace: recorded, Document: doc, Entries: 6, Policy: entry.PolicyScheduler, Seed: 1, ReportAge: time.Second})
 		Expect(err).NotTo(HaveOccurred())
-		told := report.Compute(in)
-		Expect(told.Requests).To(Equal(len(made.Lines)))
-		Expect(told.Unanswered).To(BeZero())
-		Expect(told.Answered).To(BeNumerically(">", len(made.Lines)*9/10))
+		result := report.Compute(in)
+		Expect(result.Requests).To(Equal(len(made.Lines)))
+		Expect(result.Unanswered).To(BeZero())
+		Expect(result.Answered).To(BeNumerically(">", len(made.Lines)*9/10))
 	})
 
 	It("links a resent request to its first line, with times that do not decrease", func() {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -15,7 +15,7 @@
 	CallersAddress   string `json:"callers_address"`
 	PeersAddress     string `json:"peers_address"`
 	OperatorsAddress string `json:"operators_address"`
-	// Platform says where the log and the instance list are.
+	// Platform locates the log and the instance list.
 	Platform Platform `json:"platform"`
 	// Peers are the initial peer addresses; the instance list adds others.
 	Peers []string `json:"peers"`
