--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -73,8 +73,8 @@
 	}
 	w.ctx.Response.Header.Set(headerRequestID, string(w.f.ID))
 	switch {
-	case p.End != nil && p.End.See != nil:
-		w.refer(p.End.See)
+	case p.End != nil && p.End.Referral != nil:
+		w.refer(p.End.Referral)
 	case p.Trimmed:
 		w.refuse(outcome.Undetermined(outcome.ReasonAnswerNotHeld, "the answer's beginning is no longer held"))
 	case p.End != nil && p.Head == nil:
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,8 @@
 // Package eventlog writes one log line for each decision without blocking the deciding
 // goroutine: lines wait in a bounded queue, and a separate goroutine writes them. When
 // the reader of the log is blocked, the queue fills; further lines are omitted and
-// counted. Rates per second omit routine lines first, then lines on failures. Belief
-// lines have no such bound.
+// counted. Routine and failure lines are also bounded per second, routine lines more
+// strictly; belief lines are not.
 package eventlog
 
 import (
--- a/internal/flight/buffer.go
+++ b/internal/flight/buffer.go
@@ -36,8 +36,8 @@
 	// data in order.
 	Chunks   int
 	Checksum uint64
-	// See refers the caller to another answer; nil if this is the answer.
-	See *Referral
+	// Referral refers the caller to another answer; nil if this is the answer.
+	Referral *Referral
 }
 
 // Appended is the result of appending a chunk.
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -79,7 +79,7 @@
 // this entry owns.
 func (f *Flight) InDoubt() bool {
 	end := f.Answer.Ended()
-	return end != nil && end.See == nil && end.Status.Outcome == outcome.Unknown
+	return end != nil && end.Referral == nil && end.Status.Outcome == outcome.Unknown
 }
 
 // Target is where a request was dispatched.
--- a/internal/flight/referral.go
+++ b/internal/flight/referral.go
@@ -20,7 +20,7 @@
 
 // refer ends a flight by a referral.
 func (f *Flight) refer(to Referral) {
-	f.close(End{Status: outcome.Undetermined(outcome.ReasonDuplicateKey, "the answer belongs to another request id"), See: &to})
+	f.close(End{Status: outcome.Undetermined(outcome.ReasonDuplicateKey, "the answer belongs to another request id"), Referral: &to})
 }
 
 // joinOther refers a caller to the answer of another request at this entry, whose
--- a/internal/logclient/instances.go
+++ b/internal/logclient/instances.go
@@ -34,7 +34,7 @@
 // Poll reads the list periodically until the context ends, and calls took with each
 // list. It calls failed with an error, which has no other effect: the list lags anyway
 // and is only a hint.
-func (i *Instances) Poll(ctx context.Context, took func(entry.InstanceList), failed func(error)) {
+func (i *Instances) Poll(ctx context.Context, deliver func(entry.InstanceList), failed func(error)) {
 	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
 	for {
@@ -42,7 +42,7 @@
 		if err != nil {
 			failed(err)
 		} else {
-			took(list)
+			deliver(list)
 		}
 		select {
 		case <-ticker.C:
