--- a/internal/callers/path_test.go
+++ b/internal/callers/answer_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the data path", func() {
-	It("passes a streamed answer on whole, numbered and with its end mark", func() {
+	It("forwards a complete streamed answer, numbered and with its end event", func() {
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/event-stream")
 			ctx.SetBodyString(token(0) + token(1) + token(2) + usageEvent + doneEvent)
@@ -24,10 +24,10 @@
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(resp.Header.Get("X-Request-Id")).To(HavePrefix(string(prefix)))
 		Expect(resp.Header.Get("X-Stream-Token")).NotTo(BeEmpty())
-		ids, chunks, mark := readStream(body)
+		ids, chunks, endEvent := readStream(body)
 		Expect(ids).To(Equal([]string{"0", "1", "2", "3"}))
 		sum := fmt.Sprintf("%016x", xxhash.Sum64String(strings.Join(chunks, "")))
-		Expect(mark).To(Equal(end{Outcome: "answered", Chunks: 4, Checksum: sum}))
+		Expect(endEvent).To(Equal(end{Outcome: "answered", Chunks: 4, Checksum: sum}))
 		Expect(string(body)).To(HaveSuffix(doneEvent))
 		Eventually(func() []entry.RunEnded { return all[entry.RunEnded](n.core) }).Should(HaveLen(1))
 		ended := all[entry.RunEnded](n.core)[0]
@@ -37,14 +37,14 @@
 		Expect(all[entry.RunStarted](n.core)).To(HaveLen(1))
 	})
 
-	It("passes a whole answer on with outcome and checksum", func() {
+	It("forwards a complete answer with outcome and checksum", func() {
 		const answer = `{"choices":[{"message":{"content":"hi"}}],"usage":{"prompt_tokens":3,"completion_tokens":1}}`
 		engine := serve(func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("application/json")
 			ctx.SetBodyString(answer)
 		})
 		n := newNode(engine, "")
-		resp, body := n.call("POST", "/v1/chat/completions", wholeBody, nil)
+		resp, body := n.call("POST", "/v1/chat/completions", nonStreamingBody, nil)
 		Expect(resp.StatusCode).To(Equal(200))
 		Expect(string(body)).To(Equal(answer))
 		Expect(resp.Header.Get("X-Outcome")).To(Equal("answered"))
--- a/internal/callers/whole.go
+++ b/internal/callers/assemble.go
@@ -22,22 +22,22 @@
 	Detail   string          `json:"detail,omitempty"`
 }
 
-func endMark(end *flight.End) []byte {
-	mark, err := json.Marshal(endEvent{
+func endEventData(end *flight.End) []byte {
+	data, err := json.Marshal(endEvent{
 		Outcome: end.Status.Outcome, Reason: end.Status.Reason, Chunks: end.Chunks,
 		Checksum: checksumText(end.Checksum), Detail: end.Status.Detail,
 	})
 	if err != nil {
 		return nil
 	}
-	return mark
+	return data
 }
 
 func checksumText(sum uint64) string { return fmt.Sprintf("%016x", sum) }
 
 func checksum(data []byte) uint64 { return xxhash.Sum64(data) }
 
-// chunkJSON is the part of a streamed chunk that a whole answer needs.
+// chunkJSON holds the fields of a streamed chunk that a complete answer needs.
 type chunkJSON struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -60,10 +60,10 @@
 	Content string `json:"content"`
 }
 
-// assemble forms a whole answer from the chunks of a stream, for a caller that
-// asked for a whole answer whose run had to be read as a stream.
+// assemble builds a complete answer from the chunks of a stream, for a caller that
+// asked for a complete answer when the answer had to be read as a stream.
 func assemble(chunks [][]byte) []byte {
-	whole := chunkJSON{}
+	answer := chunkJSON{}
 	texts := make(map[int]*strings.Builder)
 	choices := make(map[int]*choiceJSON)
 	for _, chunk := range chunks {
@@ -71,19 +71,19 @@
 		if json.Unmarshal(chunk, &c) != nil {
 			continue
 		}
-		if whole.ID == "" {
-			whole.ID, whole.Object, whole.Created, whole.Model = c.ID, c.Object, c.Created, c.Model
+		if answer.ID == "" {
+			answer.ID, answer.Object, answer.Created, answer.Model = c.ID, c.Object, c.Created, c.Model
 		}
 		if len(c.Usage) > 0 && string(c.Usage) != "null" {
-			whole.Usage = c.Usage
+			answer.Usage = c.Usage
 		}
 		for i := range c.Choices {
 			addChoice(&c.Choices[i], choices, texts)
 		}
 	}
-	whole.Object = strings.TrimSuffix(whole.Object, ".chunk")
-	whole.Choices = finishChoices(choices, texts)
-	body, err := json.Marshal(whole)
+	answer.Object = strings.TrimSuffix(answer.Object, ".chunk")
+	answer.Choices = finishChoices(choices, texts)
+	body, err := json.Marshal(answer)
 	if err != nil {
 		return nil
 	}
@@ -127,7 +127,7 @@
 	return done
 }
 
-// numberFrom reads the number in a query; absent: 0.
+// numberFrom parses the chunk number of the query's from; it is 0 if absent.
 func numberFrom(text []byte) (int, error) {
 	if len(text) == 0 {
 		return 0, nil
