--- a/cmd/sycamore-gateway/hook.go
+++ b/cmd/sycamore-gateway/hook.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// nameHook puts the entry's name on each line.
+// nameHook adds the entry's name to each log line.
 type nameHook struct{ name string }
 
 func (nameHook) Levels() []logrus.Level { return logrus.AllLevels }
--- a/cmd/sycamore-gateway/main.go
+++ b/cmd/sycamore-gateway/main.go
@@ -1,4 +1,4 @@
-// Command sycamore-gateway is the entry for routed traffic on the users' platform.
+// Command sycamore-gateway runs an entry for routed traffic on the users' platform.
 package main
 
 import (
@@ -19,14 +19,14 @@
 // version is set by the linker: -ldflags "-X main.version=...".
 var version = "dev"
 
-const about = `Routes callers' requests by host and path to targets that registered themselves
-in the platform's metadata store. What governs it is the configuration in that
-store; the settings file only says who this process is and where the store is.
-A changed settings file is taken on SIGHUP, or by itself within some seconds.
+const about = `Routes callers' requests by host and path to targets that are registered in the
+platform's metadata store. Routing is governed by the configuration in that
+store; the settings file only identifies this process and the store's address.
+A changed settings file is loaded on SIGHUP, or automatically within some seconds.
 See docs/SETTINGS.md.`
 
-// memoryShare is the part of the process' memory that the runtime may use; the
-// rest is for what the kernel holds of its connections.
+// memoryShare is the part of the process' memory that the Go runtime may use; the
+// rest is left for the kernel's memory of its connections.
 const memoryShare = 0.6
 
 func main() {
--- a/cmd/sycamore-gateway/watch.go
+++ b/cmd/sycamore-gateway/watch.go
@@ -12,11 +12,11 @@
 	"sycamoretrail/internal/settings"
 )
 
-// lookEvery is the pause between two looks at the settings file, which may change
+// pollInterval is the time between two checks of the settings file, which may change
 // without a signal.
-const lookEvery = 5 * time.Second
+const pollInterval = 5 * time.Second
 
-// watchedFile is the settings file with what was last read of it.
+// watchedFile is the settings file and its content when last read.
 type watchedFile struct {
 	path string
 	data []byte
@@ -25,24 +25,25 @@
 func (f *watchedFile) load(path string) (settings.Gateway, error) {
 	f.path = path
 	if data, err := os.ReadFile(path); err == nil {
-		f.data = data // a file that cannot be read is LoadGateway's to report
+		f.data = data // LoadGateway reports a file that cannot be read
 	}
 	return settings.LoadGateway(path)
 }
 
-// watch hands changed settings on until the context ends.
+// watch passes changed settings to the gateway until the context ends. SIGHUP reloads
+// unchanged settings, too.
 func (f *watchedFile) watch(ctx context.Context, g *gateway.Gateway) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		signalled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			asked = true
+			signalled = true
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(f.path)
@@ -50,7 +51,7 @@
 			g.RejectReload(err)
 			continue
 		}
-		if bytes.Equal(data, f.data) && !asked {
+		if bytes.Equal(data, f.data) && !signalled {
 			continue
 		}
 		f.data = data
