--- a/cmd/sycamore-entry/cost_bench_test.go
+++ b/cmd/sycamore-entry/cost_bench_test.go
@@ -20,36 +20,36 @@
 )
 
 // The benchmarks of this file run one entry, its stand-ins and its caller in one
-// process and on the fixed loopback ports, for the sake of a profile in which
-// the label "side" tells them apart:
+// process and on fixed loopback ports, so that one profile covers them. The label
+// "side" distinguishes them:
 //
 //	go test ./cmd/sycamore-entry -run xxx -bench Streams -benchtime 1000x -cpuprofile cpu.out
 //	go tool pprof -tagfocus side=entry -top cpu.out
 
 const labelSide = "side"
 
-// as runs start with a label that all goroutines begun by it inherit.
-func as(side string, start func()) {
+// runLabelled runs start with a label that all goroutines started by it inherit.
+func runLabelled(side string, start func()) {
 	pprof.Do(context.Background(), pprof.Labels(labelSide, side), func(context.Context) { start() })
 }
 
-type bench struct {
+type deployment struct {
 	doc    *document.Document
 	tokens map[string]string
 	entry  string
 }
 
-// newBench brings up a deployment of one entry.
-func newBench(b *testing.B, size capacity.Size, stepMS float64) bench {
+// newDeployment starts a deployment with one entry.
+func newDeployment(b *testing.B, size capacity.Size, stepMS float64) deployment {
 	b.Helper()
 	doc, err := capacity.Generate("bench", size)
 	check(b, err)
 	dir := b.TempDir()
 	check(b, layout.Write(dir, layout.Options{Document: doc, Entries: 1, EngineStepMS: stepMS}))
-	as("standin", func() { startStandins(b, filepath.Join(dir, "standin.json")) })
+	runLabelled("standin", func() { startStandins(b, filepath.Join(dir, "standin.json")) })
 	s, err := settings.LoadEntry(filepath.Join(dir, "entry-1.json"))
 	check(b, err)
-	as("entry", func() { startEntry(b, s) })
+	runLabelled("entry", func() { startEntry(b, s) })
 	data, err := document.Encode(doc)
 	check(b, err)
 	client := operatorclient.New(operatorclient.Options{Entries: []string{s.OperatorsAddress}, Token: layout.OperatorToken})
@@ -61,10 +61,10 @@
 		status, err := client.Status()
 		return err == nil && status.State == message.Ready.String()
 	})
-	// The schedulers grant nothing until they know what the others run.
+	// The schedulers grant nothing until they have received the others' requests in flight.
 	time.Sleep(2 * document.Milliseconds(doc.Timing.SilenceMS))
 	name := capacity.OrganisationName(0)
-	return bench{doc: doc, tokens: map[string]string{name: capacity.Token(name)}, entry: s.CallersAddress}
+	return deployment{doc: doc, tokens: map[string]string{name: capacity.Token(name)}, entry: s.CallersAddress}
 }
 
 func startStandins(b *testing.B, path string) {
@@ -82,7 +82,7 @@
 func startEntry(b *testing.B, s settings.Entry) {
 	cfg, err := coreConfig(s)
 	check(b, err)
-	// The entry logs to standard output, which belongs to the results here.
+	// The entry logs to standard output, which is reserved for the results here.
 	stdout := os.Stdout
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	check(b, err)
@@ -116,10 +116,10 @@
 	}
 }
 
-// BenchmarkHop makes calls one at a time, each straight to a stand-in and by way
-// of the entry. Reported: what the way adds at p50 and p99, in microseconds.
+// BenchmarkHop makes sequential calls, directly to a stand-in and through the entry. It
+// reports the latency that the entry adds at p50 and p99, in microseconds.
 func BenchmarkHop(b *testing.B) {
-	d := newBench(b, capacity.Size{Targets: 2, Services: 1, Organisations: 1, Models: 1, Zones: 1}, 1)
+	d := newDeployment(b, capacity.Size{Targets: 2, Services: 1, Organisations: 1, Models: 1, Zones: 1}, 1)
 	b.ResetTimer()
 	name := capacity.OrganisationName(0)
 	rows, err := capacity.Hop(capacity.HopOptions{
@@ -128,15 +128,15 @@
 	})
 	check(b, err)
 	for i := 0; i+1 < len(rows); i += 2 {
-		direct, way := rows[i], rows[i+1]
-		b.ReportMetric((way.Whole.P50-direct.Whole.P50)*1e3, string(way.Kind)+"-p50-us")
-		b.ReportMetric((way.Whole.P99-direct.Whole.P99)*1e3, string(way.Kind)+"-p99-us")
+		direct, viaEntry := rows[i], rows[i+1]
+		b.ReportMetric((viaEntry.Whole.P50-direct.Whole.P50)*1e3, string(viaEntry.Kind)+"-p50-us")
+		b.ReportMetric((viaEntry.Whole.P99-direct.Whole.P99)*1e3, string(viaEntry.Kind)+"-p99-us")
 	}
 }
 
-// BenchmarkStreams reads b.N streams of 100 tokens at once.
+// BenchmarkStreams reads b.N concurrent streams of 100 tokens.
 func BenchmarkStreams(b *testing.B) {
-	d := newBench(b, capacity.Size{Targets: 64, OneGeneration: true, Services: 1, Organisations: 1, Models: 1, Zones: 1}, 0)
+	d := newDeployment(b, capacity.Size{Targets: 64, OneGeneration: true, Services: 1, Organisations: 1, Models: 1, Zones: 1}, 0)
 	b.ResetTimer()
 	load := capacity.Load{
 		Entries: []string{d.entry}, Document: d.doc, Tokens: d.tokens, Kind: capacity.Completion,
--- a/cmd/sycamore-entry/dataplane.go
+++ b/cmd/sycamore-entry/dataplane.go
@@ -15,18 +15,18 @@
 	"sycamoretrail/internal/telemetry"
 )
 
-// Bounds of the data plane that no document sets.
+// Bounds of the data plane that the document does not set.
 const (
-	// openFlights exceeds any document's limit of requests in flight, which the
+	// maxOpenFlights exceeds any document's limit of requests in flight, which the
 	// core enforces by tier; this one only bounds memory.
-	openFlights = 20_000
-	// retainAnswers is how long an ended answer can be read again here.
+	maxOpenFlights = 20_000
+	// retainAnswers is how long a completed answer can be read again here.
 	retainAnswers = 30 * time.Second
 	retainBytes   = 64 << 20
-	sweepEvery    = time.Second
+	sweepInterval = time.Second
 )
 
-// dataPlane is the way of requests through the process: callers, flights, targets.
+// dataPlane holds the components that requests pass through: callers, flights, targets.
 type dataPlane struct {
 	*targets.Targets
 	*flight.Registry
@@ -35,14 +35,15 @@
 	stop    chan struct{}
 }
 
-// coreInputs brings the edges' inputs to the core. Ends must not be lost; all
-// else is refused or dropped when the ring is full.
+// coreInputs passes the inputs of the I/O components to the core. Starts and ends of runs,
+// departures of callers and completed orders must not be lost; all other inputs are refused
+// or dropped when the ring is full.
 type coreInputs struct {
 	loop    *duty.Loop[*entry.Entry]
 	targets *targetLog
 }
 
-// Submit hands an input over; false when the ring is full.
+// Submit passes an input to the core. It returns false if the ring is full.
 func (c coreInputs) Submit(in entry.Input) bool {
 	switch in := in.(type) {
 	case entry.TargetState:
@@ -55,7 +56,7 @@
 }
 
 func newDataPlane(p *process) *dataPlane {
-	registry := flight.Config{MaxOpen: openFlights, Retain: retainAnswers, RetainBytes: retainBytes}
+	registry := flight.Config{MaxOpen: maxOpenFlights, Retain: retainAnswers, RetainBytes: retainBytes}
 	d := &dataPlane{
 		Registry: flight.NewRegistry(registry),
 		rereads:  flight.NewRegistry(registry),
@@ -72,10 +73,10 @@
 	return d
 }
 
-// Serve answers callers until Close.
+// Serve accepts callers until Close.
 func (d *dataPlane) Serve(listener net.Listener) error { return d.callers.Serve(listener) }
 
-// Close ends the callers' side first, so that nothing new arrives.
+// Close shuts down the callers' server first, so that no new requests arrive.
 func (d *dataPlane) Close() error {
 	close(d.stop)
 	err := d.callers.Shutdown()
@@ -84,7 +85,7 @@
 }
 
 func (d *dataPlane) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -97,8 +98,8 @@
 	}
 }
 
-// observe counts an answered or refused request, and logs a refusal that the core
-// knows nothing of.
+// observe counts an answered or refused request, and logs a refusal that was decided
+// outside the core.
 func (p *process) observe(o callers.Observation) {
 	if o.Refused {
 		p.decisions.Refused(o.ID, o.Organisation, o.Status.Reason)
@@ -108,14 +109,14 @@
 	})
 }
 
-// record notes a request for the trace, where one is written.
+// record adds a request to the trace, if one is written.
 func (p *process) record(req *request.Request, tier, method, path string) {
 	if p.recording != nil {
 		p.recording.Arrived(recording.Arrival{Request: *req, Tier: tier, Method: method, Path: path})
 	}
 }
 
-// probed reports whether this entry watches a target: those that it schedules.
+// probed reports whether this entry probes a target. It probes those that it schedules.
 func (v *views) probed(t *document.Target) bool {
 	for i := range v.Latest().Probes {
 		if v.Latest().Probes[i].Name == t.Name {
--- a/cmd/sycamore-entry/gauges.go
+++ b/cmd/sycamore-entry/gauges.go
@@ -12,36 +12,36 @@
 
 const (
 	gaugeInterval = time.Second
-	// coreEvery is how many of these pass between two reads of the core, which
-	// hold up its loop for the time of a list of all targets.
-	coreEvery = 5
-	noFloor   = -1
+	// coreReadTicks is the number of gauge intervals between two reads of the core,
+	// which block its loop while all targets are listed.
+	coreReadTicks = 5
+	noFloor       = -1
 )
 
 // reportGauges sets the gauges until the context ends.
 func (p *process) reportGauges(ctx context.Context) {
 	ticker := time.NewTicker(gaugeInterval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for tick := 0; ; tick++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			p.reportEdges()
-			if turn%coreEvery == 0 {
+			if tick%coreReadTicks == 0 {
 				p.reportCore(ctx)
 			}
 		}
 	}
 }
 
-// reportEdges reads what needs no turn of the core.
+// reportEdges sets the gauges that can be read without blocking the core's loop.
 func (p *process) reportEdges() {
 	m := p.metrics
 	m.Set(telemetry.InputsWaiting, float64(p.loop.Waiting()))
 	view := p.views.Latest()
 	m.Set(telemetry.DocumentVersion, float64(view.Version))
-	m.Set(telemetry.Ready, oneIf(view.State == message.Ready))
+	m.Set(telemetry.Ready, boolGauge(view.State == message.Ready))
 	m.Set(telemetry.EntriesKnown, float64(len(view.Entries)))
 	if p.recording != nil {
 		m.Total(telemetry.TraceLines, p.recording.Written())
@@ -86,7 +86,7 @@
 	}
 }
 
-// reportCore reads the core on its own loop.
+// reportCore sets the gauges that are read on the core's loop.
 func (p *process) reportCore(ctx context.Context) {
 	var status entry.Status
 	var targets []entry.TargetStatus
@@ -96,7 +96,7 @@
 		return // the loop has stopped
 	}
 	m := p.metrics
-	m.Set(telemetry.LogAvailable, oneIf(status.LogUp))
+	m.Set(telemetry.LogAvailable, boolGauge(status.LogUp))
 	m.Set(telemetry.InFlight, float64(status.InFlight))
 	m.Set(telemetry.IDsRemembered, float64(status.RememberedIDs))
 	m.Set(telemetry.KeysClaimed, float64(status.ClaimedKeys))
@@ -110,15 +110,15 @@
 	p.reportPools(targets, floors)
 }
 
-// poolSums adds up the targets of a pool that this entry schedules.
+// poolSums holds sums over the targets of a pool that this entry schedules.
 type poolSums struct {
 	targets, available, straggling, limit, inFlight, suspects int
 
 	queued []int
 }
 
-// reportPools sums over pools, since a series for each target would stay behind
-// at its last reading whenever the target's scheduler changes.
+// reportPools sets gauges per pool: a series for each target would remain at its last
+// value whenever the target's scheduler changes.
 func (p *process) reportPools(targets []entry.TargetStatus, floors []entry.FloorStatus) {
 	doc := p.views.Latest().Document
 	if doc == nil {
@@ -177,7 +177,7 @@
 	}
 }
 
-func oneIf(holds bool) float64 {
+func boolGauge(holds bool) float64 {
 	if holds {
 		return 1
 	}
--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -15,13 +15,14 @@
 	"sycamoretrail/internal/operators"
 )
 
-// inspector answers operators; each answer is one read on the core loop.
+// inspector answers the queries of operators. Each query of the core's state is one read
+// on the core loop.
 type inspector struct {
 	loop  *duty.Loop[*entry.Entry]
 	views *views
 }
 
-// Status tells how the entry and its peers stand.
+// Status returns the state of the entry and its peers.
 func (i *inspector) Status(ctx context.Context) (operators.Status, error) {
 	var s entry.Status
 	if err := i.loop.Do(ctx, func(e *entry.Entry) { s = e.Status() }); err != nil {
@@ -95,7 +96,7 @@
 	return list, nil
 }
 
-// Explain tells what was decided on a request.
+// Explain returns the decisions made on a request.
 func (i *inspector) Explain(ctx context.Context, id string) (operators.Explanation, error) {
 	var x entry.Explanation
 	if err := i.loop.Do(ctx, func(e *entry.Entry) { x = e.Explain(ident.RequestID(id)) }); err != nil {
@@ -124,19 +125,19 @@
 	return operators.Document{Version: view.Version, ID: view.Document.ID, Data: json.RawMessage(data)}, nil
 }
 
-// Verdict says what became of a published document here.
+// Verdict returns the result of a published document at this entry.
 func (i *inspector) Verdict(ctx context.Context, documentID string) (operators.Published, error) {
-	var verdict acceptance.Verdict
+	var result acceptance.Verdict
 	var known bool
-	read := func(e *entry.Entry) { verdict, known = e.DocumentVerdict(documentID) }
+	read := func(e *entry.Entry) { result, known = e.DocumentVerdict(documentID) }
 	if err := i.loop.Do(ctx, read); err != nil || !known {
 		return operators.Published{ID: documentID}, err
 	}
 	published := operators.Published{
-		ID: documentID, Version: verdict.Version, Winner: verdict.Winner, WinnerVersion: verdict.WinnerVersion,
-		Faults: faultsOf(verdict.Faults),
+		ID: documentID, Version: result.Version, Winner: result.Winner, WinnerVersion: result.WinnerVersion,
+		Faults: faultsOf(result.Faults),
 	}
-	switch verdict.Kind {
+	switch result.Kind {
 	case acceptance.Accepted, acceptance.Duplicate:
 		published.Result = operators.ResultAccepted
 	case acceptance.Beaten:
@@ -147,7 +148,7 @@
 	return published, nil
 }
 
-// checkDocument judges a document before it goes to the log.
+// checkDocument validates a document before it is published to the log.
 func checkDocument(data []byte) (string, []operators.Fault) {
 	doc, err := document.Parse(data)
 	if err != nil {
--- a/cmd/sycamore-entry/main.go
+++ b/cmd/sycamore-entry/main.go
@@ -1,5 +1,6 @@
-// Command sycamore-entry is the daemon on an entry instance: it takes callers'
-// requests, runs them at targets and agrees with the other entries on places.
+// Command sycamore-entry is the daemon of an entry instance: it accepts callers'
+// requests, runs them at targets and coordinates the targets' slots with the other
+// entries.
 package main
 
 import (
@@ -10,9 +11,9 @@
 // version is set by the linker: -ldflags "-X main.version=...".
 var version = "dev"
 
-const about = `Takes callers' requests and runs each at one target, in the order of tiers.
-What governs it is the document that operators publish; the settings file only says
-who this process is and where it finds the platform. See docs/SETTINGS.md.`
+const about = `Accepts callers' requests and runs each at one target, in the order of tiers.
+It is governed by the document that operators publish; the settings file only
+identifies this process and the platform's addresses. See docs/SETTINGS.md.`
 
 func main() {
 	cli.Daemon[settings.Entry]{
--- a/cmd/sycamore-entry/process.go
+++ b/cmd/sycamore-entry/process.go
@@ -27,7 +27,7 @@
 // roleEntry is the role of entries in the instance list.
 const roleEntry = "entry"
 
-// process is one running entry: the core loop and the edges round it.
+// process is one running entry: the core loop and the I/O components connected to it.
 type process struct {
 	settings  settings.Entry
 	logger    *logrus.Logger
@@ -40,11 +40,11 @@
 	data      *dataPlane
 	operators *operators.Server
 	views     *views
-	// recording is nil where the settings name no trace_file.
+	// recording is nil if the settings have no trace_file.
 	recording *recording.Recorder
 }
 
-// newProcess makes all parts; none of them listens or connects yet.
+// newProcess creates all components; none of them listens or connects yet.
 func newProcess(s settings.Entry, cfg entry.Config) (*process, error) {
 	logger, err := telemetry.NewLogger(os.Stdout, s.LogLevel)
 	if err != nil {
@@ -106,7 +106,7 @@
 	})
 }
 
-// run serves until the drain is over.
+// run serves until the drain has completed.
 func (p *process) run(ctx context.Context) error {
 	listeners, err := listen(p.settings)
 	if err != nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-// listed hands the instance list to the core, which decides on membership, and
-// to the links, which connect to every entry that it names.
+// listed passes the instance list to the core, which decides on membership, and
+// to the links, which connect to every entry in the list.
 func (p *process) listed(list entry.InstanceList) {
 	addresses := make([]string, 0, len(list.Instances))
 	for _, instance := range list.Instances {
@@ -149,7 +149,7 @@
 	p.logger.WithError(err).Warn("instance list cannot be read")
 }
 
-// Drain begins a planned stop, for SIGTERM and for operators.
+// Drain begins a planned stop, on SIGTERM or an operator's request.
 func (p *process) Drain() {
 	p.logger.Info("draining")
 	p.loop.Deliver(entry.DrainStart{})
@@ -158,7 +158,7 @@
 // SetLogLevel changes the level while the process runs.
 func (p *process) SetLogLevel(level string) error { return telemetry.SetLevel(p.logger, level) }
 
-// close ends the edges while the core still takes what they deliver.
+// close shuts down the I/O components while the core still accepts their inputs.
 func (p *process) close() {
 	if err := p.data.Close(); err != nil {
 		p.logger.WithError(err).Warn("callers' listener did not close")
@@ -183,11 +183,11 @@
 	callers, peers, operators net.Listener
 }
 
-// listen opens all addresses, or none and says which of them fail.
+// listen opens listeners on all addresses. The error names every address that fails.
 func listen(s settings.Entry) (listeners, error) {
 	var opened listeners
 	var faults []error
-	for _, one := range []struct {
+	for _, opening := range []struct {
 		address string
 		into    *net.Listener
 	}{
@@ -195,12 +195,12 @@
 		{s.PeersAddress, &opened.peers},
 		{s.OperatorsAddress, &opened.operators},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", opening.address)
 		if err != nil {
 			faults = append(faults, fmt.Errorf("%w: %w", errListen, err))
 			continue
 		}
-		*one.into = listener
+		*opening.into = listener
 	}
 	return opened, errors.Join(faults...)
 }
--- a/cmd/sycamore-entry/run.go
+++ b/cmd/sycamore-entry/run.go
@@ -13,7 +13,7 @@
 	"sycamoretrail/internal/settings"
 )
 
-// run starts the entry and returns once it is drained.
+// run starts the entry and returns when it has drained.
 func run(ctx context.Context, s settings.Entry) error {
 	cfg, err := coreConfig(s)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return p.run(ctx)
 }
 
-// coreConfig draws a fresh incarnation, the one random choice that is made at
-// the edge, and seeds the core's own from the same source.
+// coreConfig returns the core's configuration with a random incarnation, the only random
+// value chosen outside the core. The core's own generator is seeded from the same source.
 func coreConfig(s settings.Entry) (entry.Config, error) {
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/cmd/sycamore-entry/signals.go
+++ b/cmd/sycamore-entry/signals.go
@@ -12,20 +12,20 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// drainLineEvery is the time between two lines about a drain that goes on.
-const drainLineEvery = 10 * time.Second
+// drainLogInterval is the time between two log lines on the progress of a drain.
+const drainLogInterval = 10 * time.Second
 
-// errCut: an operator ended the process before its drain was over.
-var errCut = errors.New("stopped by SIGINT before the drain was over; requests in flight were cut")
+// errDrainAborted is returned if SIGINT ends the process before its drain is complete.
+var errDrainAborted = errors.New("stopped by SIGINT before the drain was complete; requests in flight were aborted")
 
-// wait turns signals into a drain and returns once it is over. A second SIGTERM
-// changes nothing, since a planned stop cuts no request; SIGINT during a drain is
-// an operator's confirmation that what is left may be cut.
+// wait starts a drain on SIGTERM or SIGINT and returns when it is complete. A second
+// SIGTERM has no effect, since a planned stop aborts no requests; SIGINT during a drain
+// is an operator's confirmation that the remaining requests may be aborted.
 func (p *process) wait() error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(drainLineEvery)
+	ticker := time.NewTicker(drainLogInterval)
 	defer ticker.Stop()
 	draining := false
 	for {
@@ -35,14 +35,14 @@
 			return nil
 		case <-ticker.C:
 			if p.views.Latest().State == message.Draining {
-				p.tellDrain()
+				p.logDrainProgress()
 			}
 		case received := <-signals:
 			if draining && received == syscall.SIGINT {
-				return errCut
+				return errDrainAborted
 			}
 			if draining {
-				p.logger.Warn("still draining; SIGINT stops at once and cuts what is in flight")
+				p.logger.Warn("still draining; SIGINT stops at once and aborts requests in flight")
 				continue
 			}
 			draining = true
@@ -52,9 +52,9 @@
 	}
 }
 
-// tellDrain says what a drain waits for, so that an operator can tell a long
-// answer from a process that hangs.
-func (p *process) tellDrain() {
+// logDrainProgress logs the number of requests that a drain waits for, so that an operator
+// can distinguish a long answer from a process that hangs.
+func (p *process) logDrainProgress() {
 	inFlight := 0
 	read := func(e *entry.Entry) { inFlight = e.Status().InFlight }
 	if err := p.loop.Do(context.Background(), read); err == nil {
--- a/cmd/sycamore-entry/targetlog.go
+++ b/cmd/sycamore-entry/targetlog.go
@@ -8,32 +8,32 @@
 	"sycamoretrail/internal/core/entry"
 )
 
-// willingness is what a probe found of a target's readiness.
-type willingness struct{ reachable, leaving bool }
+// targetReadiness is the result of a probe.
+type targetReadiness struct{ reachable, leaving bool }
 
-// targetLog tells operators when a target that this entry probes stops to take
-// work or takes it again, with one line for each change.
+// targetLog writes a log line whenever a target that this entry probes stops accepting
+// work or accepts it again.
 type targetLog struct {
 	log logrus.FieldLogger
 
 	mutex sync.Mutex
-	last  map[string]willingness
+	last  map[string]targetReadiness
 }
 
 func newTargetLog(log logrus.FieldLogger) *targetLog {
-	return &targetLog{log: log, last: make(map[string]willingness)}
+	return &targetLog{log: log, last: make(map[string]targetReadiness)}
 }
 
-// note takes the finding of a probe. A target not probed before counts as one
-// that took work.
+// note processes the result of a probe. A target not probed before counts as one that
+// accepted work.
 func (t *targetLog) note(found entry.TargetState) {
-	now := willingness{reachable: found.Reachable, leaving: found.Leaving}
+	now := targetReadiness{reachable: found.Reachable, leaving: found.Leaving}
 	t.mutex.Lock()
 	before, known := t.last[found.Target]
 	t.last[found.Target] = now
 	t.mutex.Unlock()
 	if !known {
-		before = willingness{reachable: true}
+		before = targetReadiness{reachable: true}
 	}
 	if now == before {
 		return
--- a/cmd/sycamore-entry/targetlog_test.go
+++ b/cmd/sycamore-entry/targetlog_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "sycamore-entry")
 }
 
-var _ = It("tells of a target once for each change", func() {
+var _ = It("logs each change of a target once", func() {
 	logger, hook := test.NewNullLogger()
 	targets := newTargetLog(logger)
 	for _, found := range []entry.TargetState{
--- a/cmd/sycamore-entry/views.go
+++ b/cmd/sycamore-entry/views.go
@@ -12,7 +12,7 @@
 	current atomic.Pointer[entry.View]
 }
 
-// newViews begins with a view that says that nothing is in force yet.
+// newViews starts with a view in which no document is in force.
 func newViews() *views {
 	v := &views{}
 	v.current.Store(&entry.View{})
@@ -25,7 +25,7 @@
 // Latest returns the view in force.
 func (v *views) Latest() *entry.View { return v.current.Load() }
 
-// tierName is the name of a tier in the document in force; "" where it has none.
+// tierName returns the name of a tier in the document in force, or "" if it has none.
 func (v *views) tierName(tier request.Tier) string {
 	doc := v.Latest().Document
 	if doc == nil || int(tier) >= len(doc.Tiers) {
