--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -42,7 +42,8 @@
 
 	// disconnected is closed when the caller has disconnected.
 	disconnected chan struct{}
-	// mutex guards callerLeft and sending; handleDisconnect closes the latter.
+	// mutex guards callerLeft, which handleDisconnect sets, and sending, the connection that
+	// it then closes.
 	mutex      sync.Mutex
 	callerLeft bool
 	sending    *upstream.Conn
@@ -56,14 +57,14 @@
 	// lastEvent is the id of the last event that was passed to the caller.
 	lastEvent string
 	// events is the number of events that were passed to the caller.
-	events int
-	first  time.Time
-	ended  bool
+	events  int
+	firstAt time.Time
+	ended   bool
 }
 
-// seed makes the choice between the services of a split route depend on the request id, so
-// that a retry with a new id may be sent to the other service.
-var seed = maphash.MakeSeed()
+// splitSeed makes the choice between the services of a split route depend on the request id,
+// so that a retry with a new id may be sent to the other service.
+var splitSeed = maphash.MakeSeed()
 
 // serve is the handler of all callers' requests.
 func (g *Gateway) serve(ctx *fasthttp.RequestCtx) {
@@ -96,7 +97,7 @@
 		return notReady
 	}
 	c.config = c.gateway.configuration.Load()
-	host, path := target(header)
+	host, path := hostAndPath(header)
 	route, found := c.config.Match(host, path)
 	if !found {
 		return noRoute
@@ -113,7 +114,7 @@
 	if !c.gateway.shutdown.Load().accepts(c.arrived, c.expires) {
 		return entryStopping
 	}
-	c.service = route.Service(float64(maphash.String(seed, envelope.ID)%1000) / 1000)
+	c.service = route.Service(float64(maphash.String(splitSeed, envelope.ID)%1000) / 1000)
 	c.fingerprint = c.formFingerprint()
 	if c.gateway.state.quarantined(c.fingerprint) {
 		return crashesTargets
@@ -121,8 +122,8 @@
 	return c.checkQuota()
 }
 
-// target returns the host without port, in lower case, and the path without query.
-func target(header *fasthttp.RequestHeader) (host, path string) {
+// hostAndPath returns the host without port, in lower case, and the path without query.
+func hostAndPath(header *fasthttp.RequestHeader) (host, path string) {
 	host = strings.ToLower(string(header.Host()))
 	if i := strings.LastIndexByte(host, ':'); i > 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -49,7 +49,7 @@
 			return
 		}
 		pause = copyRetry
-		if !f.disconnected[feed.Operators].Load() {
+		if !f.storeDisconnected[feed.Operators].Load() {
 			continue // the store answers; there is no configuration yet
 		}
 		topic := copyTopics[try%len(copyTopics)]
--- a/internal/gateway/digest.go
+++ b/internal/gateway/digest.go
@@ -33,7 +33,7 @@
 // relay sends digests while this entry is one of the relays of its cell.
 func (l *links) relay(ctx context.Context) {
 	pause := rand.N(digestPause)
-	for turn := rand.IntN(dispatch.CellEntries); ; turn++ {
+	for round := rand.IntN(dispatch.CellEntries); ; round++ {
 		select {
 		case <-ctx.Done():
 			return
@@ -47,7 +47,7 @@
 		if l.pressing() {
 			pause = pressingPause
 		}
-		l.sendDigests(cells, turn)
+		l.sendDigests(cells, round)
 	}
 }
 
@@ -57,10 +57,11 @@
 	return l.gateway.state.quota.Pressing(time.Now())
 }
 
-// sendDigests sends the digests to one entry of each other cell. Which entry it is depends on
-// the sender's cell: if one entry had to forward the digests of all cells at once, its link
-// would be saturated and drop most of them, and live cells would appear silent.
-func (l *links) sendDigests(cells *peerset.Cells, turn int) {
+// sendDigests sends the digests to one entry of each other cell. Which entry it is changes
+// with each round and differs by the sender's cell: if one entry had to forward the digests of
+// all cells at once, its link would be saturated and drop most of them, and live cells would
+// appear silent.
+func (l *links) sendDigests(cells *peerset.Cells, round int) {
 	organisations, statuses, complete := l.statuses()
 	digests, err := gossip.Digests(organisations, statuses)
 	if err != nil {
@@ -70,7 +71,7 @@
 	var to []peerset.Entry
 	for _, cell := range cells.Others {
 		if len(cell) > 0 {
-			to = append(to, cell[(turn+cells.Own)%len(cell)])
+			to = append(to, cell[(round+cells.Own)%len(cell)])
 		}
 	}
 	for _, digest := range digests {
@@ -84,7 +85,7 @@
 // statuses returns the statuses of this entry and of the entries with which it has direct
 // contact, and the organisations whose totals they hold. complete: these are all
 // organisations.
-func (l *links) statuses() (organisations []string, words []gossip.Word, complete bool) {
+func (l *links) statuses() (organisations []string, statuses []gossip.Word, complete bool) {
 	g := l.gateway
 	version := int64(0)
 	if c := g.configuration.Load(); c != nil {
@@ -101,20 +102,20 @@
 		totals = append(totals, g.state.quota.TotalsOf(m.Name))
 	}
 	organisations, complete = l.digestRotation.share(namesOf(totals), digestBytes, totalBytes)
-	words = append(words, gossip.Word{
+	statuses = append(statuses, gossip.Word{
 		Name: g.self.Name, Incarnation: g.self.Incarnation, Sequence: l.conn.Next(), AgeMS: now.Sub(g.started).Milliseconds(),
-		State: uint8(state), Blind: g.feeds.isDisconnected(), Version: version,
+		State: uint8(state), Blind: g.feeds.isStoreDisconnected(), Version: version,
 	})
 	for _, m := range members {
-		words = append(words, gossip.Word{
+		statuses = append(statuses, gossip.Word{
 			Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, AgeMS: m.Heard.Sub(m.Started).Milliseconds(),
 			SilentMS: now.Sub(m.Heard).Milliseconds(), State: uint8(m.State), Blind: m.Blind, Version: m.Version,
 		})
 	}
-	for i := range words {
-		words[i].Admitted, words[i].Waiting = columns(organisations, totals[i])
+	for i := range statuses {
+		statuses[i].Admitted, statuses[i].Waiting = columns(organisations, totals[i])
 	}
-	return organisations, words, complete
+	return organisations, statuses, complete
 }
 
 // namesOf returns the names of all organisations in totals, sorted.
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -16,9 +16,9 @@
 	began := time.Unix(1_000_000, 0)
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
 	s := newShutdownTimes(began, 8*time.Second)
-	g.Expect(s.accepts(at(1), at(16))).To(BeTrue(), "callers have not heard yet")
+	g.Expect(s.accepts(at(1), at(16))).To(BeTrue(), "callers may still have an old list")
 	g.Expect(s.accepts(at(3.8), at(18.8))).To(BeFalse())
-	g.Expect(s.accepts(at(3.8), at(4.4))).To(BeTrue(), "it is over before the end")
-	g.Expect((&shutdownTimes{}).accepts(at(3.8), at(4.4))).To(BeFalse(), "nothing runs any more and the process is about to end")
-	g.Expect((*shutdownTimes)(nil).accepts(at(3.8), at(18.8))).To(BeTrue(), "an entry that is not told to stop")
+	g.Expect(s.accepts(at(3.8), at(4.4))).To(BeTrue(), "it expires before the process ends")
+	g.Expect((&shutdownTimes{}).accepts(at(3.8), at(4.4))).To(BeFalse(), "no request is running and the process is about to end")
+	g.Expect((*shutdownTimes)(nil).accepts(at(3.8), at(18.8))).To(BeTrue(), "an entry that is not stopping")
 }
--- a/internal/gateway/entriesfeed.go
+++ b/internal/gateway/entriesfeed.go
@@ -14,9 +14,9 @@
 	// entriesEvery is the mean interval of reads of the register of entries, which only
 	// reveals entries that could not reach this one.
 	entriesEvery = 60 * time.Second
-	// entriesLeast is the least time between a read of the register and the next for an
+	// minEntriesPause is the least time between a read of the register and the next one for an
 	// unknown entry.
-	entriesLeast = 5 * time.Second
+	minEntriesPause = 5 * time.Second
 	// registerRetry is the pause after a failed attempt to register this entry.
 	registerRetry = 500 * time.Millisecond
 )
@@ -63,7 +63,7 @@
 func (f *feeds) requestEntries() {
 	now := time.Now().UnixNano()
 	last := f.entriesReadAt.Load()
-	if now-last < int64(entriesLeast) || !f.entriesReadAt.CompareAndSwap(last, now) {
+	if now-last < int64(minEntriesPause) || !f.entriesReadAt.CompareAndSwap(last, now) {
 		return
 	}
 	signal(f.entriesDue)
@@ -100,6 +100,6 @@
 		entries = append(entries, peerset.Entry{Name: record.Key, Incarnation: entry.Incarnation, Zone: entry.Zone, Callers: entry.Callers, Links: entry.Links})
 	}
 	f.entriesReadAt.Store(time.Now().UnixNano())
-	f.gateway.links.registered(entries)
+	f.gateway.links.applyRegister(entries)
 	return listed, nil
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -56,8 +56,8 @@
 		fields["prompt"], fields["output"], fields["expected"] = c.envelope.PromptTokens, c.envelope.OutputTokens, c.envelope.ExpectedOutput
 		fields["events"] = c.events
 	}
-	if !c.first.IsZero() {
-		fields["first_ms"] = c.first.Sub(c.arrived).Milliseconds()
+	if !c.firstAt.IsZero() {
+		fields["first_ms"] = c.firstAt.Sub(c.arrived).Milliseconds()
 	}
 	if c.config != nil {
 		fields["version"] = c.config.Version
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -39,11 +39,11 @@
 
 	// targetsRead is set once the register of targets has been read.
 	targetsRead atomic.Bool
-	// disconnected reports, by topic, that the store cannot be read.
-	disconnected [feed.Entries]atomic.Bool
-	mutex        sync.Mutex
-	register     *register.Register
-	addresses    map[string]bool
+	// storeDisconnected reports, by topic, that the store cannot be read.
+	storeDisconnected [feed.Entries]atomic.Bool
+	mutex             sync.Mutex
+	register          *register.Register
+	addresses         map[string]bool
 	// pendingLines holds the log lines of changes that are not in force yet.
 	pendingLines []eventlog.Fields
 	// entriesDue triggers a read of the register of entries; entriesReadAt is the time of the
@@ -71,8 +71,8 @@
 	return f
 }
 
-func fraction(whole time.Duration, share float64) time.Duration {
-	return time.Duration(float64(whole) * share)
+func fraction(total time.Duration, share float64) time.Duration {
+	return time.Duration(float64(total) * share)
 }
 
 func (f *feeds) callbacks(apply func(feed.Update)) feed.Duties {
@@ -80,12 +80,12 @@
 		Leads: f.gateway.isReader,
 		Apply: apply,
 		Lost: func(topic feed.Topic, err error) {
-			f.disconnected[topic].Store(true)
+			f.storeDisconnected[topic].Store(true)
 			f.gateway.links.heartbeatNow()
 			f.logStoreError(topic, err)
 		},
 		Regained: func(topic feed.Topic, after time.Duration) {
-			f.disconnected[topic].Store(false)
+			f.storeDisconnected[topic].Store(false)
 			f.gateway.links.heartbeatNow()
 			f.gateway.log.Write(eventlog.Belief, eventStoreRegained, eventlog.Fields{"topic": topic.String(), "after_ms": after.Milliseconds()})
 		},
@@ -161,7 +161,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if ordered || f.gateway.state.rollouts.held {
+	if ordered || f.gateway.state.rollouts.awaitingOrders {
 		f.publish(u.AsOf)
 	}
 }
@@ -359,9 +359,9 @@
 	return f.addresses[address]
 }
 
-// isDisconnected reports whether this entry cannot read the store.
-func (f *feeds) isDisconnected() bool {
-	return f.disconnected[feed.Operators].Load() || f.disconnected[feed.Targets].Load()
+// isStoreDisconnected reports whether this entry cannot read the store.
+func (f *feeds) isStoreDisconnected() bool {
+	return f.storeDisconnected[feed.Operators].Load() || f.storeDisconnected[feed.Targets].Load()
 }
 
 func (f *feeds) hasTargets() bool { return f.targetsRead.Load() }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,8 +47,8 @@
 	// maxHeader and maxBody are upper limits of what a configuration can allow.
 	maxHeader = 32 << 10
 	maxBody   = 8 << 20
-	// idleCaller is how long an idle caller connection is kept open.
-	idleCaller = 75 * time.Second
+	// callerIdleTimeout is how long an idle caller connection is kept open.
+	callerIdleTimeout = 75 * time.Second
 	// heartbeatEvery is the interval of heartbeats to the entries of the cell. failureTimeout
 	// is three intervals and a delay; relayedFailureTimeout is eight digests.
 	heartbeatEvery        = 250 * time.Millisecond
@@ -85,7 +85,7 @@
 	configuration atomic.Pointer[catalog.Configuration]
 	// syncDone is closed, once, when this entry has configuration and targets.
 	syncDone chan struct{}
-	once     sync.Once
+	syncOnce sync.Once
 	running  atomic.Int64
 	draining atomic.Bool
 	// shutdown is set when this entry is to stop.
@@ -202,7 +202,7 @@
 		Concurrency:                   int(float64(descriptors) * connectionShare),
 		ReadBufferSize:                maxHeader,
 		MaxRequestBodySize:            maxBody,
-		IdleTimeout:                   idleCaller,
+		IdleTimeout:                   callerIdleTimeout,
 		NoDefaultServerHeader:         true,
 		NoDefaultDate:                 true,
 		NoDefaultContentType:          true,
@@ -220,7 +220,7 @@
 
 func (g *Gateway) serveOn(s *server) {
 	if err := s.http.Serve(s.listener); err != nil && !errors.Is(err, net.ErrClosed) {
-		g.logger.WithError(err).WithField("listener", s.name).Error("listener ended")
+		g.logger.WithError(err).WithField("listener", s.name).Error("HTTP listener failed")
 	}
 }
 
@@ -235,7 +235,7 @@
 // noteSynced releases the requests that arrived before this entry was synced.
 func (g *Gateway) noteSynced() {
 	if g.synced() {
-		g.once.Do(func() {
+		g.syncOnce.Do(func() {
 			close(g.syncDone)
 			g.links.announce()
 		})
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -29,7 +29,7 @@
 	// were lost, the count of broken runs would be one too low.
 	crashCopies = 2
 	// departureCopies is the number of times that a target's departure is announced; an entry
-	// that misses it learns it from the target's next answer.
+	// that misses the announcement receives it with the target's next answer.
 	departureCopies = 2
 	// zoneReaders is the number of other entries from which on each zone has its own reader.
 	zoneReaders = 24
@@ -43,8 +43,8 @@
 	// to the cell.
 	heartbeatDue chan struct{}
 	announcing   atomic.Bool
-	// turn counts heartbeats, from a start that differs by entry; see peerset.Set.Probed.
-	turn int
+	// heartbeatCount counts heartbeats, from a start that differs by entry; see peerset.Set.Probed.
+	heartbeatCount int
 	// cells is the division of entries into cells, as last updated at cellsAt; cellsDue: an
 	// update is scheduled.
 	cells    atomic.Pointer[peerset.Cells]
@@ -72,7 +72,7 @@
 
 func newLinks(g *Gateway, conn *gossip.Conn) *links {
 	l := &links{
-		gateway: g, conn: conn, heartbeatDue: make(chan struct{}, 1), turn: rand.IntN(1 << 16),
+		gateway: g, conn: conn, heartbeatDue: make(chan struct{}, 1), heartbeatCount: rand.IntN(1 << 16),
 		resolved: make(map[string]*net.UDPAddr), assembler: gossip.NewAssembler(),
 	}
 	l.cells.Store(&peerset.Cells{Count: 1, Entries: 1})
@@ -121,7 +121,7 @@
 	m := l.message()
 	m.Heartbeat = &gossip.Heartbeat{
 		Zone: g.self.Zone, Callers: g.self.Callers, Links: g.self.Links, State: uint8(g.ownState()),
-		Blind: g.feeds.isDisconnected(),
+		Blind: g.feeds.isStoreDisconnected(),
 	}
 	if c := g.configuration.Load(); c != nil {
 		m.Heartbeat.Version = c.Version
@@ -135,14 +135,14 @@
 }
 
 func (l *links) sendHeartbeat() {
-	l.send(l.heartbeat(), l.heartbeatTo())
+	l.send(l.heartbeat(), l.heartbeatReceivers())
 	l.updateCells()
 }
 
-// heartbeatTo returns the receivers of this heartbeat: the cell and one silent entry, or all
-// entries if there is one cell only or this is an announcement.
-func (l *links) heartbeatTo() []peerset.Entry {
-	l.turn++
+// heartbeatReceivers returns the receivers of this heartbeat: the cell and one silent entry,
+// or all entries if there is one cell only or this is an announcement.
+func (l *links) heartbeatReceivers() []peerset.Entry {
+	l.heartbeatCount++
 	peers := l.gateway.state.peers
 	l.gateway.state.mutex.Lock()
 	defer l.gateway.state.mutex.Unlock()
@@ -150,7 +150,7 @@
 		return entriesOf(peers.Members())
 	}
 	to := l.cells.Load().Audience
-	if probed, found := peers.Probed(time.Now(), l.turn); found {
+	if probed, found := peers.Probed(time.Now(), l.heartbeatCount); found {
 		return append(slices.Clone(to), probed)
 	}
 	return to
@@ -243,8 +243,8 @@
 	g.state.deliver(g.state.sched.SetCell(now, cells.Own, cells.Count))
 }
 
-// registered applies the register of entries and announces this entry to all.
-func (l *links) registered(entries []peerset.Entry) {
+// applyRegister applies the register of entries and announces this entry to all.
+func (l *links) applyRegister(entries []peerset.Entry) {
 	l.addRegistered(entries)
 	l.announce()
 }
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -12,8 +12,8 @@
 // observe records a request that has ended in the histograms.
 func (g *Gateway) observe(c *call, reason string, now time.Time) {
 	first := time.Duration(0)
-	if !c.first.IsZero() {
-		first = c.first.Sub(c.arrived)
+	if !c.firstAt.IsZero() {
+		first = c.firstAt.Sub(c.arrived)
 	}
 	g.metrics.Routed(telemetry.RoutedRequest{
 		Organisation: c.organisation, Tier: strconv.Itoa(c.priority), Reason: reason, First: first, Total: now.Sub(c.arrived),
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -19,15 +19,15 @@
 	}
 	readers := g.readers()
 	able := len(readers) > 0 && readers[0].State == peerset.Ready && !readers[0].Blind
-	if able && (!g.ready() || g.feeds.isDisconnected()) {
+	if able && (!g.ready() || g.feeds.isStoreDisconnected()) {
 		g.links.setReader("another")
 		return false
 	}
-	if !able && g.ready() && !g.feeds.isDisconnected() {
+	if !able && g.ready() && !g.feeds.isStoreDisconnected() {
 		g.links.setReader(g.self.Name)
 		return true
 	}
-	reader := g.first(g.links.readFor(entriesOf(readers)))
+	reader := g.firstInRank(g.links.readFor(entriesOf(readers)))
 	g.links.setReader(reader)
 	return reader == g.self.Name
 }
@@ -87,8 +87,8 @@
 	return entries
 }
 
-// first returns the name of the first in rank of some entries and this one.
-func (g *Gateway) first(members []peerset.Entry) string { return firstOf(g.self.Name, members) }
+// firstInRank returns the name of the first in rank of some entries and this one.
+func (g *Gateway) firstInRank(members []peerset.Entry) string { return firstOf(g.self.Name, members) }
 
 // firstOf returns the first in rank of a name and those of some entries.
 func firstOf(first string, members []peerset.Entry) string {
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -16,7 +16,7 @@
 // receive handles messages of the other entries until the socket is closed.
 func (l *links) receive() {
 	if err := l.conn.Receive(l.handle); err != nil {
-		l.gateway.logger.WithError(err).Error("links ended")
+		l.gateway.logger.WithError(err).Error("receiving from other entries failed")
 	}
 }
 
--- a/internal/gateway/rolloutlead.go
+++ b/internal/gateway/rolloutlead.go
@@ -102,14 +102,14 @@
 // half of the others does not lead, since it would take what it does not see for idle.
 func (g *Gateway) rolloutLeader() string {
 	readers := entriesOf(g.readers())
-	able := g.ready() && !g.feeds.isDisconnected()
+	able := g.ready() && !g.feeds.isStoreDisconnected()
 	if able {
 		g.state.mutex.Lock()
 		able = !g.state.quota.Isolated()
 		g.state.mutex.Unlock()
 	}
 	if able {
-		return g.first(readers)
+		return g.firstInRank(readers)
 	}
 	if len(readers) == 0 {
 		return ""
@@ -152,14 +152,14 @@
 	d := known.judge.Decide(now, t.Phase(), t.Elapsed(now), g.liveNames(now))
 	known.rollingBack = d.Action == rollout.RollBack
 	order, phase := t.Order(), t.Phase()
-	again := known.recordLost && phase > 0
-	due := d.Action != rollout.Wait || known.published < phase || again
+	rewrite := known.recordLost && phase > 0
+	due := d.Action != rollout.Wait || known.published < phase || rewrite
 	if due = due && !known.writing && now.After(known.writeAfter); due {
 		known.writing = true
 	}
 	g.state.mutex.Unlock()
 	if due {
-		go r.persist(order, phase, d, again)
+		go r.persist(order, phase, d, rewrite)
 	}
 	r.announce(service)
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -40,8 +40,8 @@
 	gateway  *Gateway
 	wake     chan struct{}
 	versions *rollout.Versions
-	// held: some targets are waiting for the orders to be read; see rollout.Versions.
-	held bool
+	// awaitingOrders: some targets are waiting for the orders to be read; see rollout.Versions.
+	awaitingOrders bool
 
 	services map[string]*serviceRollout
 }
@@ -127,7 +127,7 @@
 	now := time.Now()
 	g.state.mutex.Lock()
 	defer g.state.mutex.Unlock()
-	r.held = false
+	r.awaitingOrders = false
 	if !slices.ContainsFunc(targets, r.concerns) {
 		return targets
 	}
@@ -146,7 +146,7 @@
 			continue
 		}
 		usable, waits := r.versions.Usable(now, ordersAsOf, service, own, rollout.Serves(assigned, service))
-		r.held = r.held || waits
+		r.awaitingOrders = r.awaitingOrders || waits
 		assigned = append(assigned, usable...)
 	}
 	return assigned
--- a/internal/gateway/rolloutstore.go
+++ b/internal/gateway/rolloutstore.go
@@ -24,11 +24,11 @@
 var errSuperseded = errors.New("the order has been superseded")
 
 // persist writes the step of a decision to the store, or publishes to the operators the phase
-// that is there; again: the store may have lost the record.
-func (r *rollouts) persist(order rollout.Order, phase rollout.Phase, d rollout.Decision, again bool) {
+// that is there. rewrite: the store may have lost the record.
+func (r *rollouts) persist(order rollout.Order, phase rollout.Phase, d rollout.Decision, rewrite bool) {
 	var err error
 	switch {
-	case again:
+	case rewrite:
 		err = r.rewrite(order)
 	case d.Action != rollout.Wait:
 		phase, err = r.write(order, d)
@@ -52,7 +52,7 @@
 		known.ended = time.Time{}
 	case known.tracker.Order() == order:
 		known.published = max(known.published, phase)
-		known.recordLost = known.recordLost && !again
+		known.recordLost = known.recordLost && !rewrite
 	}
 }
 
@@ -141,7 +141,7 @@
 		From: record.From, BeganMS: record.Began.UnixMilli(),
 	})
 	if err != nil {
-		return fmt.Errorf("record of a roll-out: %w", err)
+		return fmt.Errorf("encode the record of a roll-out: %w", err)
 	}
 	return r.gateway.platform.PutAt(feed.Rollouts, end, feed.Record{Key: record.Service, Value: value})
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -39,7 +39,7 @@
 			return
 		}
 		if c.sends > 0 && !c.gateway.state.mayRepeat(c.service) {
-			c.gateway.state.done(grant.Ticket, dispatch.Report{Outcome: dispatch.Abandoned})
+			c.gateway.state.release(grant.Ticket, dispatch.Report{Outcome: dispatch.Abandoned})
 			c.giveUp(notRun("retry_budget", time.Second))
 			return
 		}
@@ -72,7 +72,7 @@
 	}
 	if !c.gateway.state.cancel(ticket) {
 		if v := <-wait; v.grant != nil {
-			c.gateway.state.done(ticket, dispatch.Report{Outcome: dispatch.Abandoned})
+			c.gateway.state.release(ticket, dispatch.Report{Outcome: dispatch.Abandoned})
 		}
 	}
 	return nil, callerDisconnected
@@ -143,8 +143,9 @@
 	return g, nil
 }
 
-// giveUp ends a request that has no successful answer: it passes on a target's error answer if
-// there is one, and otherwise refuses with r.
+// giveUp ends a request that has no successful answer. It passes on a target's error answer if
+// there is one, and otherwise refuses with r; if the request may have run, the reply does not
+// claim the opposite.
 func (c *call) giveUp(r *reply) {
 	switch {
 	case c.failure != nil:
@@ -159,15 +160,15 @@
 // try sends the request to one target. It returns false if the request should go to another.
 func (c *call) try(grant *dispatch.Grant) bool {
 	began := time.Now()
-	answer, mark, err := c.send(grant)
+	answer, head, err := c.send(grant)
 	if err != nil {
 		if !errors.Is(err, upstream.ErrNotSent) {
 			c.runs++
 		}
 		return c.handleFailure(grant, began, err)
 	}
-	if mark.NotRun && answer.Status != http.StatusBadRequest {
-		return c.handleRejection(grant, began, answer, mark)
+	if head.NotRun && answer.Status != http.StatusBadRequest {
+		return c.handleRejection(grant, began, answer, head)
 	}
 	c.runs++
 	if c.route.Kind == catalog.Stream && answer.Status == http.StatusOK {
@@ -216,27 +217,27 @@
 		}
 		return nil, AnswerMark{}, err
 	}
-	mark := c.gateway.platform.ReadMark(answer.Status, answer.Header)
-	c.applyAnswerHead(grant, mark)
-	return answer, mark, nil
+	head := c.gateway.platform.ReadMark(answer.Status, answer.Header)
+	c.applyAnswerHead(grant, head)
+	return answer, head, nil
 }
 
 // fromAnswer is the log value for an announcement that came in the target's own answer.
 const fromAnswer = "answer"
 
 // applyAnswerHead passes on what the head of an answer declares about the target.
-func (c *call) applyAnswerHead(grant *dispatch.Grant, mark AnswerMark) {
-	if mark.Replaced {
+func (c *call) applyAnswerHead(grant *dispatch.Grant, head AnswerMark) {
+	if head.Replaced {
 		return
 	}
-	c.gateway.state.observeLimit(grant.Ticket, mark.Limit)
-	if mark.Pause > 0 {
+	c.gateway.state.observeLimit(grant.Ticket, head.Limit)
+	if head.Pause > 0 {
 		c.gateway.log.Write(eventlog.Belief, eventPause, eventlog.Fields{
-			"id": c.envelope.ID, "target": grant.Target.ID, "pause_ms": mark.Pause.Milliseconds(),
+			"id": c.envelope.ID, "target": grant.Target.ID, "pause_ms": head.Pause.Milliseconds(),
 		})
-		c.gateway.state.observePause(grant.Ticket, mark.Pause)
+		c.gateway.state.observePause(grant.Ticket, head.Pause)
 	}
-	if mark.Leaving && c.gateway.feeds.applyDeparture(grant.Target, fromAnswer) {
+	if head.Leaving && c.gateway.feeds.applyDeparture(grant.Target, fromAnswer) {
 		c.gateway.links.announceDeparture(grant.Target)
 	}
 }
@@ -306,11 +307,11 @@
 }
 
 // handleRejection handles an answer which declares that the request was not run.
-func (c *call) handleRejection(grant *dispatch.Grant, began time.Time, answer *upstream.Answer, mark AnswerMark) bool {
+func (c *call) handleRejection(grant *dispatch.Grant, began time.Time, answer *upstream.Answer, head AnswerMark) bool {
 	c.countUnsent()
 	_, _ = io.CopyN(io.Discard, answer, maxBufferedAnswer)
 	c.closeAnswer(answer)
-	if mark.Replaced {
+	if head.Replaced {
 		c.tried = append(c.tried, grant.Target.Incarnation())
 		c.report(grant, began, dispatch.Replaced, answer.Status, nil)
 	} else {
@@ -360,7 +361,7 @@
 
 // sendAnswer passes a complete answer on unchanged.
 func (c *call) sendAnswer(a *bufferedAnswer) {
-	c.first = time.Now()
+	c.firstAt = time.Now()
 	c.copyHead(a.status, a.header)
 	c.ctx.Response.SetBodyRaw(a.body)
 	c.end(a.status, "answered")
@@ -395,7 +396,7 @@
 	c.gateway.log.Write(importance, eventTried, fields)
 	c.gateway.counters.tries.add(report.Outcome.String())
 	c.gateway.state.recordObservation(c.service, c.route, grant, report, took)
-	c.gateway.state.done(grant.Ticket, report)
+	c.gateway.state.release(grant.Ticket, report)
 }
 
 // countBrokenRun counts an aborted run against the request's fingerprint, at this entry and at
--- a/internal/gateway/share_test.go
+++ b/internal/gateway/share_test.go
@@ -46,17 +46,17 @@
 	w := NewWithT(t)
 	const organisations = 2000
 	g := manyOrganisations(t, organisations, longNames)
-	told := make(map[string]bool)
+	sent := make(map[string]bool)
 	for range 120 {
 		m := g.links.heartbeat()
 		_, err := g.links.conn.Encode(m)
 		w.Expect(err).NotTo(HaveOccurred())
 		w.Expect(m.Heartbeat.Partial).To(BeTrue())
 		for name := range m.Heartbeat.Totals {
-			told[name] = true
+			sent[name] = true
 		}
 	}
-	w.Expect(told).To(HaveLen(organisations))
+	w.Expect(sent).To(HaveLen(organisations))
 }
 
 // The same for the digests that a relay sends to other cells: if a status with all totals did
@@ -65,11 +65,11 @@
 	for _, form := range []string{longNames, shortNames} {
 		w := NewWithT(t)
 		g := manyOrganisations(t, 300, form)
-		told := make(map[string]bool)
+		sent := make(map[string]bool)
 		for range 30 {
-			organisations, words, whole := g.links.statuses()
-			w.Expect(whole).To(BeFalse())
-			digests, err := gossip.Digests(organisations, words)
+			organisations, statuses, complete := g.links.statuses()
+			w.Expect(complete).To(BeFalse())
+			digests, err := gossip.Digests(organisations, statuses)
 			w.Expect(err).NotTo(HaveOccurred())
 			for _, digest := range digests {
 				m := g.links.message()
@@ -77,11 +77,11 @@
 				_, err := g.links.conn.Encode(m)
 				w.Expect(err).NotTo(HaveOccurred())
 				for _, name := range digest.Organisations {
-					told[name] = true
+					sent[name] = true
 				}
 			}
 		}
-		w.Expect(told).To(HaveLen(300))
+		w.Expect(sent).To(HaveLen(300))
 	}
 }
 
@@ -95,8 +95,8 @@
 		w.Expect(m.Heartbeat.Totals).To(HaveLen(16))
 		w.Expect(m.Heartbeat.Partial).To(BeFalse())
 	}
-	_, _, whole := g.links.statuses()
-	w.Expect(whole).To(BeTrue())
+	_, _, complete := g.links.statuses()
+	w.Expect(complete).To(BeTrue())
 }
 
 // An entry that joins receives the histories of all organisations, in as many datagrams as
@@ -108,17 +108,17 @@
 	for i := range 200 {
 		histories[fmt.Sprintf("organisation-%04d", i)] = quota.History{Older: 1e9, Recent: 1e9}
 	}
-	told := make(map[string]bool)
+	sent := make(map[string]bool)
 	for _, part := range partsOf(histories, heartbeatBytes, historyBytes) {
 		m := g.links.message()
 		m.History = mapValues(part, historyMessage)
 		_, err := g.links.conn.Encode(m)
 		w.Expect(err).NotTo(HaveOccurred())
 		for name := range part {
-			told[name] = true
+			sent[name] = true
 		}
 	}
-	w.Expect(told).To(HaveLen(200))
+	w.Expect(sent).To(HaveLen(200))
 }
 
 // Guards against load reports that are not sent: many targets declare limits, and the totals
@@ -135,7 +135,7 @@
 			load.InFlight[id], load.Reading[id] = 4, 40_000
 		}
 	}
-	told := make(map[string]bool)
+	sent := make(map[string]bool)
 	for range 10 {
 		m := g.links.loadReport(load, g.state.quota.Totals())
 		_, err := g.links.conn.Encode(m)
@@ -143,8 +143,8 @@
 		w.Expect(m.Load.Totals).NotTo(BeEmpty())
 		for id, limit := range m.Load.Limits {
 			w.Expect(limitReportOf(limit)).To(Equal(load.Limits[id]))
-			told[id] = true
+			sent[id] = true
 		}
 	}
-	w.Expect(told).To(HaveLen(limited))
+	w.Expect(sent).To(HaveLen(limited))
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -68,8 +68,8 @@
 	return queued
 }
 
-// done releases a slot.
-func (s *state) done(ticket *dispatch.Ticket, report dispatch.Report) {
+// release releases a slot.
+func (s *state) release(ticket *dispatch.Ticket, report dispatch.Report) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -44,7 +44,7 @@
 		c.closeAnswer(answer)
 		return c.handleFailure(grant, began, err)
 	}
-	c.first = time.Now()
+	c.firstAt = time.Now()
 	c.copyHead(answer.Status, answer.Header)
 	s.ready = first
 	s.complete = errors.Is(err, io.EOF)
@@ -213,7 +213,7 @@
 			return false
 		}
 		if !c.gateway.state.mayRepeat(c.service) {
-			c.gateway.state.done(grant.Ticket, dispatch.Report{Outcome: dispatch.Abandoned})
+			c.gateway.state.release(grant.Ticket, dispatch.Report{Outcome: dispatch.Abandoned})
 			return false
 		}
 		if s.resumeAt(grant) {
@@ -230,7 +230,7 @@
 func (s *eventStream) resumeAt(grant *dispatch.Grant) bool {
 	c := s.call
 	began := time.Now()
-	answer, mark, err := c.send(grant)
+	answer, head, err := c.send(grant)
 	if err != nil {
 		outcome := dispatch.Broken
 		if errors.Is(err, upstream.ErrNotSent) {
@@ -242,14 +242,14 @@
 		c.report(grant, began, outcome, 0, err)
 		return false
 	}
-	if mark.NotRun || answer.Status != http.StatusOK {
-		if mark.NotRun {
+	if head.NotRun || answer.Status != http.StatusOK {
+		if head.NotRun {
 			c.countUnsent()
 		}
 		c.closeAnswer(answer)
 		c.tried = append(c.tried, grant.Target.Incarnation())
 		outcome := dispatch.Rejected
-		if !mark.NotRun {
+		if !head.NotRun {
 			c.runs++
 			outcome = dispatch.Failed
 		}
--- a/internal/gateway/suspend.go
+++ b/internal/gateway/suspend.go
@@ -14,7 +14,7 @@
 	// smallest difference that counts as a suspension: scheduling alone causes some
 	// milliseconds.
 	suspensionCheck = 200 * time.Millisecond
-	suspensionLeast = 300 * time.Millisecond
+	minSuspension   = 300 * time.Millisecond
 	clockBoottime   = 7
 )
 
@@ -32,7 +32,7 @@
 			return
 		case <-ticker.C:
 			ahead := bootTime() - offset - time.Since(start)
-			if ahead < suspensionLeast {
+			if ahead < minSuspension {
 				continue
 			}
 			start, offset = time.Now(), bootTime()
