--- a/internal/gateway/protocol.go
+++ b/internal/gateway/platform.go
@@ -13,14 +13,14 @@
 //     sendAnswer); a stream is passed on event by event (stream.go) and, where the route
 //     allows it, continues at another target if it is aborted (resume).
 //  5. The outcome and what it shows of the target go back to the scheduler (report,
-//     observe), and to the other entries with the next load report (report.go).
+//     observe), and to the other entries with the next load report (loadreport.go).
 //  6. end settles quota and metrics and writes the request's final log line.
 //
 // feeds.go follows configuration and targets in the store, and entriesfeed.go the register
 // of entries.
 //
 // Messages between entries are heartbeats (links.go), digests that pass them on to other
-// cells (digest.go) and load reports (report.go); share.go limits their contents to what
+// cells (digest.go) and load reports (loadreport.go); rotation.go limits their contents to what
 // fits a datagram. receive.go handles all of them.
 //
 // Roll-outs of versions: the pool of a target and of a request (rollouts.go), the work of
