--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -39,7 +39,7 @@
 
 	// targetsRead is set once the register of targets has been read.
 	targetsRead atomic.Bool
-	// storeDisconnected reports, by topic, that the store cannot be read.
+	// storeDisconnected is set, by topic, while the store cannot be read.
 	storeDisconnected [feed.Entries]atomic.Bool
 	mutex             sync.Mutex
 	register          *register.Register
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -62,7 +62,7 @@
 type Send struct {
 	// Remaining is the time that the target has for the request.
 	Left time.Duration
-	// Organisation is empty where callers show no keys.
+	// Organisation is the name of the caller's organisation; empty: none.
 	Organisation string
 	// Target is the id of the server that the request is meant for.
 	Target string
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -33,9 +33,9 @@
 }
 
 // isDiscovering reports whether this entry has just started and may not have had contact with
-// the others yet. When 195 entries started together and took themselves for the reader before
-// they had contact with any other, they made 1,160 of the 2,180 calls to the store in those
-// seconds.
+// the others yet. When 195 entries started together, most took themselves for the reader
+// before they had contact with any other: they made 1,160 of the 2,180 calls to the store in
+// those seconds.
 func (g *Gateway) isDiscovering() bool {
 	if time.Since(g.started) >= failureTimeout {
 		return false
@@ -63,7 +63,7 @@
 
 // recordsUsage reports whether this entry records usage for all. Each reader does, since a
 // single one may be slow or about to be lost. An isolated entry lacks most of the others'
-// usage; its records would replace better ones.
+// usage; its records would replace those of entries that have it.
 func (g *Gateway) recordsUsage() bool {
 	if !g.isReader() {
 		return false
