--- a/cmd/sycamorectl/main.go
+++ b/cmd/sycamorectl/main.go
@@ -1,4 +1,4 @@
-// Command sycamorectl is the operators' client.
+// Command sycamorectl is the operators' command-line client.
 package main
 
 import (
--- a/internal/ctl/caller.go
+++ b/internal/ctl/caller.go
@@ -40,7 +40,8 @@
 	Zone    string `json:"zone"`
 }
 
-// callersAddress is the given address, or that of the first entry that answers.
+// callersAddress returns the given address or, where it is empty, the caller
+// address of the first entry that answers.
 func (a *app) callersAddress(given string) (string, error) {
 	if given != "" {
 		return given, nil
@@ -54,12 +55,13 @@
 		return "", err
 	}
 	if status.Entry.CallerAddress == "" {
-		return "", exit(exitUnreachable, "the entry does not tell its callers' address; give --entry IP:PORT")
+		return "", exit(exitUnreachable, "the entry reports no callers' address; give --entry IP:PORT")
 	}
 	return status.Entry.CallerAddress, nil
 }
 
-// resolve asks an entry which entries a caller of a zone should use.
+// resolve requests from the entry at address the entries that a caller in the
+// zone should use.
 func resolve(address, zone string) (entriesAnswer, error) {
 	var answer entriesAnswer
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -67,10 +69,10 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + address + pathEntries + "?zone=" + url.QueryEscape(zone))
 	if err := callerHTTP().DoTimeout(req, resp, resolveTimeout); err != nil {
-		return answer, fmt.Errorf("ask which entry: %w", operatorclient.CallError(address, err))
+		return answer, fmt.Errorf("resolve entries: %w", operatorclient.CallError(address, err))
 	}
 	if resp.StatusCode() == fasthttp.StatusServiceUnavailable {
-		return answer, exit(exitRefused, "entry at %s knows of none that is ready; see: sycamorectl status", address)
+		return answer, exit(exitRefused, "entry at %s reports no ready entry; see: sycamorectl status", address)
 	}
 	if err := json.Unmarshal(resp.Body(), &answer); err != nil || resp.StatusCode() != fasthttp.StatusOK {
 		return answer, exit(exitFault, "what answers at %s is not the callers' interface of an entry (status %d); give its callers_address", address, resp.StatusCode())
@@ -78,7 +80,8 @@
 	return answer, nil
 }
 
-// callerHTTP never sends a request twice: a call may not be repeatable.
+// callerHTTP returns an HTTP client that never retries, because a call may not
+// be repeatable.
 func callerHTTP() *fasthttp.Client {
 	return &fasthttp.Client{
 		Name:                      "sycamorectl",
--- a/internal/ctl/check.go
+++ b/internal/ctl/check.go
@@ -11,14 +11,14 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// maxDocument is the most that the log takes as one record.
+// maxDocument is the size limit of one record in the log, in bytes.
 const maxDocument = 1 << 20
 
 func (a *app) checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a document without publishing it, and list every fault",
-		Long:  "Checks FILE (- for standard input) by the same rules as every entry's. Needs no entry.",
+		Long:  "Checks FILE (- for standard input) by the same rules as the entries do. Needs no entry.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			doc, err := a.readDocument(args[0])
@@ -29,7 +29,7 @@
 			if len(faults) > 0 {
 				return a.printFaults(args[0], apiFaults(faults))
 			}
-			return a.print(checked{ID: doc.ID, Faults: []api.Fault{}}, func(w io.Writer) {
+			return a.print(checkResult{ID: doc.ID, Faults: []api.Fault{}}, func(w io.Writer) {
 				fmt.Fprintf(w, "%s: no faults; id %s, base %d, %d organisations, %d targets\n",
 					args[0], doc.ID, doc.Base, len(doc.Organisations), len(doc.Targets))
 			})
@@ -37,8 +37,8 @@
 	}
 }
 
-// checked is the JSON of a check.
-type checked struct {
+// checkResult is the JSON output of a check.
+type checkResult struct {
 	ID     string      `json:"id"`
 	Faults []api.Fault `json:"faults"`
 }
@@ -67,9 +67,9 @@
 	return data, nil
 }
 
-// printFaults lists faults and ends with exitFault.
+// printFaults prints the faults and returns an error with code exitFault.
 func (a *app) printFaults(what string, faults []api.Fault) error {
-	err := a.print(checked{Faults: faults}, func(w io.Writer) {
+	err := a.print(checkResult{Faults: faults}, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %d faults\n", what, len(faults))
 		for _, fault := range faults {
 			fmt.Fprintf(w, "  %s: %s; %s\n", fault.Path, fault.Problem, fault.Remedy)
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	return silent(exitFault)
+	return exitQuietly(exitFault)
 }
 
 func apiFaults(faults document.Faults) []api.Fault {
--- a/internal/ctl/control.go
+++ b/internal/ctl/control.go
@@ -13,8 +13,8 @@
 func (a *app) drainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "drain ENTRY",
-		Short: "Begin a planned stop of one entry: it takes leave, finishes what it holds and exits",
-		Long:  "ENTRY is the entry's name, its operators' address, or its incarnation. Nothing in flight is cut.",
+		Short: "Begin a planned stop of one entry: it announces its departure, finishes its requests and exits",
+		Long:  "ENTRY is the entry's name, its operators' address, or its incarnation. Requests in flight are not aborted.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			client, err := a.client()
@@ -36,8 +36,8 @@
 	}
 }
 
-// addressOf finds one listed entry by name, address or incarnation. A name that
-// two entries have is refused: draining the wrong one would not be undone.
+// addressOf finds one listed entry by name, address or incarnation. An ambiguous
+// name is an error, because draining the wrong entry cannot be undone.
 func addressOf(client *operatorclient.Client, entry string) (string, error) {
 	for _, address := range client.Entries() {
 		if address == entry {
@@ -46,16 +46,16 @@
 	}
 	var found []string
 	statuses := client.Statuses()
-	for _, one := range statuses {
-		if one.Err == nil && (one.Status.Entry.Name == entry || one.Status.Entry.Incarnation == entry) {
-			found = append(found, one.Address)
+	for _, status := range statuses {
+		if status.Err == nil && (status.Status.Entry.Name == entry || status.Status.Entry.Incarnation == entry) {
+			found = append(found, status.Address)
 		}
 	}
 	switch len(found) {
 	case 1:
 		return found[0], nil
 	case 0:
-		if code := refusedCode(statuses); code != exitDone {
+		if code := failureCode(statuses); code != exitDone {
 			return "", exit(code, "no entry that answers is called %q, and some do not answer; see: sycamorectl status", entry)
 		}
 		return "", exit(exitFault, "no listed entry is called %q; see: sycamorectl status", entry)
@@ -63,7 +63,7 @@
 	return "", exit(exitFault, "%d entries are called %q; give the operators' address", len(found), entry)
 }
 
-// logLevels are the levels that an entry takes.
+// logLevels are the levels that an entry accepts.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
 func (a *app) logLevelCommand() *cobra.Command {
@@ -102,14 +102,15 @@
 	return out, nil
 }
 
-// levelRow is the JSON of one entry's answer.
+// levelRow is the JSON output for one entry.
 type levelRow struct {
 	Address string `json:"address"`
 	Level   string `json:"level,omitempty"`
 	Error   string `json:"error,omitempty"`
 }
 
-// setLevels goes on past an entry that fails, and ends with that one's code.
+// setLevels sets the level at every address. It continues after a failure and
+// returns an error with the highest exit code.
 func (a *app) setLevels(client *operatorclient.Client, addresses []string, level string) error {
 	var rows []levelRow
 	code := exitDone
@@ -132,5 +133,5 @@
 	if err != nil {
 		return err
 	}
-	return silent(code)
+	return exitQuietly(code)
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,6 @@
-// Package ctl holds the commands of sycamorectl: each reads its arguments, asks
-// entries by package operatorclient and prints a table or JSON.
+// Package ctl implements the commands of sycamorectl. Each command parses its
+// arguments, queries entries through package operatorclient and prints a table
+// or JSON.
 package ctl
 
 import (
@@ -32,7 +33,7 @@
 The settings file lists the entries and the operator token:
   {"entries": ["10.0.0.1:7002"], "token_file": "operator.token"}`
 
-// app is what the commands share.
+// app holds the state that the commands share.
 type app struct {
 	streams      Streams
 	settingsPath string
@@ -77,7 +78,7 @@
 	return root
 }
 
-// client makes the client that the settings describe.
+// client returns a client configured from the settings file.
 func (a *app) client() (*operatorclient.Client, error) {
 	loaded, err := settings.LoadCtl(a.settingsPath)
 	if err != nil {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -12,20 +12,20 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// errNoneInForce: nothing was published yet.
+// errNoneInForce reports that no document has been published yet.
 var errNoneInForce = errors.New("no document is in force yet; publish one with base 0")
 
 func (a *app) diffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE | diff A B",
-		Short: "Show what FILE changes in the document in force, or B in A",
+		Short: "Show the changes from the document in force to FILE, or from A to B",
 		Args:  cobra.RangeArgs(1, 2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			before, after, err := a.twoDocuments(args)
 			if err != nil {
 				return err
 			}
-			changes := meaningful(document.Diff(before, after))
+			changes := contentChanges(document.Diff(before, after))
 			return a.print(changes, func(w io.Writer) { writeChanges(w, changes) })
 		},
 	}
@@ -46,34 +46,35 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	current, err := inForce(client)
+	current, err := loadInForce(client)
 	return current.doc, after, err
 }
 
-// forced is the document in force, parsed.
-type forced struct {
+// documentInForce is the document in force, parsed, with the entry's answer.
+type documentInForce struct {
 	doc     *document.Document
 	version int64
 	answer  api.Document
 }
 
-func inForce(client *operatorclient.Client) (forced, error) {
+func loadInForce(client *operatorclient.Client) (documentInForce, error) {
 	answer, err := client.Document()
 	if err != nil {
-		return forced{}, err
+		return documentInForce{}, err
 	}
 	if answer.Version == 0 || len(answer.Data) == 0 || string(answer.Data) == "null" {
-		return forced{}, exit(exitRefused, "%v", errNoneInForce)
+		return documentInForce{}, exit(exitRefused, "%v", errNoneInForce)
 	}
 	doc, err := document.Parse(answer.Data)
 	if err != nil {
-		return forced{}, exit(exitFault, "the document in force is of another version than this client (%v); use the sycamorectl of the entries' version", err)
+		return documentInForce{}, exit(exitFault, "the document in force is of another version than this client (%v); use the sycamorectl of the entries' version", err)
 	}
-	return forced{doc: doc, version: answer.Version, answer: answer}, nil
+	return documentInForce{doc: doc, version: answer.Version, answer: answer}, nil
 }
 
-// meaningful leaves out the head of the document, which differs each time.
-func meaningful(changes []document.Change) []document.Change {
+// contentChanges omits changes of the id and base, which differ between any two
+// publications.
+func contentChanges(changes []document.Change) []document.Change {
 	out := make([]document.Change, 0, len(changes))
 	for _, change := range changes {
 		if change.Path != "id" && change.Path != "base" {
--- a/internal/ctl/document.go
+++ b/internal/ctl/document.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			current, err := inForce(client)
+			current, err := loadInForce(client)
 			if err != nil {
 				return err
 			}
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -16,23 +16,24 @@
 	exitUnreachable = 4
 )
 
-// exitError ends the process with a code. With an empty text nothing more is
-// printed: the command has said already what there is.
+// exitError is an error with an exit code. With an empty text nothing more is
+// printed, because the command has already printed its result.
 type exitError struct {
 	code int
 	text string
 }
 
-// Error is the line for the operator.
+// Error returns the message for the operator.
 func (e *exitError) Error() string { return e.text }
 
-// exit forms an exitError.
+// exit returns an exitError with a formatted message.
 func exit(code int, format string, args ...any) error {
 	return &exitError{code: code, text: fmt.Sprintf(format, args...)}
 }
 
-// silent ends with a code after the command has printed its result.
-func silent(code int) error {
+// exitQuietly returns an error with the code and no message, for commands that
+// have printed their result; it returns nil for exitDone.
+func exitQuietly(code int) error {
 	if code == exitDone {
 		return nil
 	}
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -19,11 +19,11 @@
 func (a *app) explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST-ID",
-		Short: "Tell what was decided on a request, and why",
+		Short: "Show what was decided on a request, and why",
 		Long: `Asks the entry that owns the request: the part of the id before its first '.' is the entry's
 incarnation. Where that entry is not among those listed, all are asked. Entries forget a
-request after a while. Exit code 3: nobody who can be asked knows of it. What an entry refuses
-before it becomes a request (an unknown key, model or tier) stands in its decision log only.`,
+request after a while. Exit code 3: no entry that answers has a record of it. What an entry refuses
+before it becomes a request (an unknown key, model or tier) is only in its decision log.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			client, err := a.client()
@@ -38,26 +38,27 @@
 				return err
 			}
 			if !found.Known {
-				return silent(exitUnknown)
+				return exitQuietly(exitUnknown)
 			}
 			return nil
 		},
 	}
 }
 
-// explain asks the owner first, then the others. It fails where no entry answers.
+// explain queries the owner first, then the other entries. It returns an error
+// if no entry answers.
 func explain(client *operatorclient.Client, id string) (api.Explanation, error) {
 	owner, _, _ := strings.Cut(id, ".")
 	statuses := ownerFirst(client.Statuses(), owner)
 	unknown := api.Explanation{ID: id, Owner: owner}
 	answered := false
 	var failure error
-	for _, one := range statuses {
-		if one.Err != nil {
-			failure = errors.Join(failure, one.Err)
+	for _, entry := range statuses {
+		if entry.Err != nil {
+			failure = errors.Join(failure, entry.Err)
 			continue
 		}
-		found, err := client.At(one.Address).Explain(id)
+		found, err := client.At(entry.Address).Explain(id)
 		if err != nil {
 			failure = errors.Join(failure, err)
 			continue
@@ -75,12 +76,12 @@
 
 func ownerFirst(statuses []operatorclient.EntryStatus, owner string) []operatorclient.EntryStatus {
 	var first, rest []operatorclient.EntryStatus
-	for _, one := range statuses {
-		if one.Err == nil && one.Status.Entry.Incarnation == owner {
-			first = append(first, one)
+	for _, entry := range statuses {
+		if entry.Err == nil && entry.Status.Entry.Incarnation == owner {
+			first = append(first, entry)
 			continue
 		}
-		rest = append(rest, one)
+		rest = append(rest, entry)
 	}
 	return append(first, rest...)
 }
@@ -91,7 +92,7 @@
 		return
 	}
 	fmt.Fprintf(w, "%s\nowner %s, standing: %s\n", found.ID, orDash(found.Owner), orDash(found.Standing))
-	writeWhy(w, found.Decisions)
+	writeReason(w, found.Decisions)
 	fmt.Fprintln(w)
 	rows := make([][]string, len(found.Decisions))
 	for i, d := range found.Decisions {
@@ -101,7 +102,7 @@
 	columns(w, []string{"WHEN", "EVENT", "TARGET", "TIER", "REASON", "DETAIL"}, rows)
 }
 
-// tierOf is the tier's name, or its rank where the document has none for it.
+// tierOf returns the tier's name, or its rank if the document has no name for it.
 func tierOf(d api.Decision) string {
 	if d.TierName != "" {
 		return d.TierName
@@ -109,8 +110,8 @@
 	return strconv.Itoa(int(d.Tier))
 }
 
-// writeWhy says in words why the request ended, by the last reason given.
-func writeWhy(w io.Writer, decisions []api.Decision) {
+// writeReason explains the last known reason among the decisions and its remedy.
+func writeReason(w io.Writer, decisions []api.Decision) {
 	for i := len(decisions) - 1; i >= 0; i-- {
 		why := reasons.Of(outcome.Reason(decisions[i].Reason))
 		if why.Meaning == "" {
--- a/internal/ctl/lines.go
+++ b/internal/ctl/lines.go
@@ -10,20 +10,21 @@
 	"strings"
 )
 
-// maxLogLine bounds a line of a log; decision lines have some hundred bytes.
+// maxLogLine bounds the length of a log line, in bytes. Decision lines have some
+// hundred bytes.
 const maxLogLine = 1 << 20
 
-// logLine is a line of an entry's log.
+// logLine is a parsed line of an entry's log.
 type logLine struct {
 	time, event, entry string
 	fields             map[string]any
 }
 
-// readLines reads the lines that are wanted from files, or from standard input where none
-// is given, in order of time. Lines that are not JSON are passed over.
-func readLines(stdin io.Reader, paths []string, wanted func(logLine) bool) ([]logLine, error) {
+// readLines returns the matching lines of the files, or of standard input if no file
+// is given, sorted by time. Lines that are not JSON are skipped.
+func readLines(stdin io.Reader, paths []string, match func(logLine) bool) ([]logLine, error) {
 	if len(paths) == 0 {
-		return sorted(scan(stdin, wanted))
+		return sortByTime(scan(stdin, match))
 	}
 	var lines []logLine
 	for _, path := range paths {
@@ -31,35 +32,35 @@
 		if err != nil {
 			return nil, err
 		}
-		found, err := scan(file, wanted)
+		found, err := scan(file, match)
 		_ = file.Close() // it was only read
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		lines = append(lines, found...)
 	}
-	return sorted(lines, nil)
+	return sortByTime(lines, nil)
 }
 
-func sorted(lines []logLine, err error) ([]logLine, error) {
+func sortByTime(lines []logLine, err error) ([]logLine, error) {
 	slices.SortStableFunc(lines, func(x, y logLine) int { return strings.Compare(x.time, y.time) })
 	return lines, err
 }
 
-func scan(from io.Reader, wanted func(logLine) bool) ([]logLine, error) {
+func scan(from io.Reader, match func(logLine) bool) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
-		if line, valid := parseLine(scanner.Text()); valid && wanted(line) {
+		if line, valid := parseLine(scanner.Text()); valid && match(line) {
 			lines = append(lines, line)
 		}
 	}
 	return lines, scanner.Err()
 }
 
-// parseLine reads the object of a line; text before it, such as a collector's prefix, is
-// ignored.
+// parseLine parses the JSON object of a line. Text before the object, such as a
+// collector's prefix, is ignored.
 func parseLine(text string) (logLine, bool) {
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 {
@@ -75,22 +76,23 @@
 	return line, true
 }
 
-// text is a field that holds text; empty: it has none.
+// text returns the named field, or "" if it is missing or not a string.
 func (l logLine) text(name string) string {
 	text, _ := l.fields[name].(string)
 	return text
 }
 
-// number is a field that holds a number; 0: it has none.
+// number returns the named field, or 0 if it is missing or not a number.
 func (l logLine) number(name string) float64 {
 	number, _ := l.fields[name].(float64)
 	return number
 }
 
-// shownFirst are the fields that String leaves out of the inputs.
+// shownFirst lists the fields that String omits from the list of other fields.
 var shownFirst = []string{"time", "msg", "entry", "level", "id"}
 
-// String forms the line that a person reads: time, entry, event, then the inputs.
+// String formats the line for reading: time, entry and event, then the other
+// fields sorted by name.
 func (l logLine) String() string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// print writes the value as JSON or hands it to the table's writer.
+// print writes the value as JSON or calls table, as --output requires.
 func (a *app) print(value any, table func(io.Writer)) error {
 	if a.output == outputTable {
 		table(a.streams.Out)
@@ -32,17 +32,17 @@
 	return encoder.Encode(value)
 }
 
-// columns writes rows under a heading, each column as wide as it must be.
+// columns writes rows under a heading, in aligned columns.
 func columns(w io.Writer, heading []string, rows [][]string) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, strings.Join(heading, "\t"))
 	for _, row := range rows {
 		fmt.Fprintln(table, strings.Join(row, "\t"))
 	}
-	_ = table.Flush() // the writer is the process's output; there is nobody to tell
+	_ = table.Flush() // an error of standard output cannot be reported
 }
 
-// orDash stands for what is not known.
+// orDash returns the text, or "-" if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -26,7 +26,7 @@
 	var flags publishFlags
 	cmd := &cobra.Command{
 		Use:   "publish FILE",
-		Short: "Check a document, publish it and tell what became of it",
+		Short: "Check a document, publish it and report the result",
 		Long: `Publishes FILE (- for standard input). The document is accepted only if its base is the
 version in force; so of two operators who start from the same version one is beaten, and sees
 by whom and what differs.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	return a.tell(path, client, doc, published)
+	return a.reportPublished(path, client, doc, published)
 }
 
 func setBase(doc *document.Document, base string, client *operatorclient.Client) error {
@@ -102,19 +102,19 @@
 	}
 }
 
-// checkID refuses an id that the document in force has, if the documents differ.
-// The entries would ignore the second record of the id and report the first
-// one's acceptance, so an edited file that kept its id would seem published.
+// checkID rejects the id of the document in force if the documents differ.
+// Entries ignore a second record with the same id and report the acceptance of
+// the first, so an edited file that kept its id would appear to be published.
 func checkID(client *operatorclient.Client, doc *document.Document) error {
-	current, err := inForce(client)
+	current, err := loadInForce(client)
 	if err != nil || current.doc.ID != doc.ID || len(document.Diff(current.doc, doc)) == 0 {
-		return nil // without an answer the publication itself will tell
+		return nil // if no entry answered, the publication reports the error
 	}
 	return exit(exitFault, "id %q is that of the document in force, version %d; give this publication its own with --id new", doc.ID, current.version)
 }
 
-// encode refuses here what the log would refuse, so that the operator learns the
-// reason.
+// encode encodes the document. It checks the log's size limit here, so that the
+// operator receives the reason.
 func encode(doc *document.Document) ([]byte, error) {
 	data, err := document.Encode(doc)
 	if err != nil {
@@ -126,18 +126,18 @@
 	return data, nil
 }
 
-// verdict is the JSON of a publication.
-type verdict struct {
+// publishResult is the JSON output of a publication.
+type publishResult struct {
 	api.Published
-	// Difference lists what the document in force and this one differ in, where
-	// this one was beaten.
+	// Difference lists the changes from the document in force to this one, if this
+	// one was superseded.
 	Difference []document.Change `json:"difference,omitempty"`
-	// Base is what the document was published with.
+	// Base is the base with which the document was published.
 	Base int64 `json:"base"`
 }
 
-// exitOf is the exit code for each result.
-var exitOf = map[api.Result]int{
+// publishExitCodes maps each result to its exit code.
+var publishExitCodes = map[api.Result]int{
 	api.ResultAccepted:     exitDone,
 	api.ResultInvalid:      exitFault,
 	api.ResultBeaten:       exitRefused,
@@ -145,62 +145,62 @@
 	api.ResultUnknown:      exitUnknown,
 }
 
-func (a *app) tell(path string, client *operatorclient.Client, doc *document.Document, published api.Published) error {
+func (a *app) reportPublished(path string, client *operatorclient.Client, doc *document.Document, published api.Published) error {
 	if published.Result == api.ResultInvalid {
 		return a.printFaults(path, published.Faults)
 	}
-	said := verdict{Published: published, Base: doc.Base}
+	result := publishResult{Published: published, Base: doc.Base}
 	if published.Result == api.ResultBeaten {
-		said.Difference = differenceToForce(client, doc)
+		result.Difference = differenceInForce(client, doc)
 	}
-	if err := a.print(said, func(w io.Writer) { writeVerdict(w, said) }); err != nil {
+	if err := a.print(result, func(w io.Writer) { writePublishResult(w, result) }); err != nil {
 		return err
 	}
 	if published.Result == api.ResultAccepted {
-		return sameContent(client, doc)
+		return checkSameContent(client, doc)
 	}
-	code, known := exitOf[published.Result]
+	code, known := publishExitCodes[published.Result]
 	if !known {
-		return exit(exitUnknown, "the entry answers %q, which this version does not know; use the sycamorectl of the entry's version", published.Result)
+		return exit(exitUnknown, "the entry answers %q, which this version does not support; use the sycamorectl of the entry's version", published.Result)
 	}
-	return silent(code)
+	return exitQuietly(code)
 }
 
-// sameContent tells a second publication of an id with other content: the entries
-// keep the first record of an id, and report that one's acceptance.
-func sameContent(client *operatorclient.Client, doc *document.Document) error {
-	current, err := inForce(client)
+// checkSameContent detects that the id was accepted with other content: entries
+// keep the first record of an id and report its acceptance for later ones.
+func checkSameContent(client *operatorclient.Client, doc *document.Document) error {
+	current, err := loadInForce(client)
 	if err != nil || current.doc.ID != doc.ID || len(document.Diff(current.doc, doc)) == 0 {
-		return nil // followed by another, or nobody to ask: the verdict stands
+		return nil // another document followed, or no entry answered: the result is valid
 	}
 	return exit(exitRefused, "id %q was accepted with other content than this file's; publish the file with --base current --id new", doc.ID)
 }
 
-// differenceToForce is empty where the winner cannot be read; the verdict counts
-// all the same.
-func differenceToForce(client *operatorclient.Client, doc *document.Document) []document.Change {
-	current, err := inForce(client)
+// differenceInForce returns the changes from the document in force to doc. It
+// returns nil if the document in force cannot be read; the result is still valid.
+func differenceInForce(client *operatorclient.Client, doc *document.Document) []document.Change {
+	current, err := loadInForce(client)
 	if err != nil {
 		return nil
 	}
-	return meaningful(document.Diff(current.doc, doc))
+	return contentChanges(document.Diff(current.doc, doc))
 }
 
-func writeVerdict(w io.Writer, said verdict) {
-	switch said.Result {
+func writePublishResult(w io.Writer, result publishResult) {
+	switch result.Result {
 	case api.ResultAccepted:
-		fmt.Fprintf(w, "accepted: %s is in force as version %d\n", said.ID, said.Version)
+		fmt.Fprintf(w, "accepted: %s is in force as version %d\n", result.ID, result.Version)
 	case api.ResultBeaten:
-		fmt.Fprintf(w, "beaten: %s came first as version %d; %s is not in force and will not be\n", orDash(said.Winner), said.WinnerVersion, said.ID)
-		if len(said.Difference) > 0 {
+		fmt.Fprintf(w, "beaten: %s came first as version %d; %s is not in force and will not be\n", orDash(result.Winner), result.WinnerVersion, result.ID)
+		if len(result.Difference) > 0 {
 			fmt.Fprintln(w, "\nwhat your document would change in the one in force:")
-			writeChanges(w, said.Difference)
+			writeChanges(w, result.Difference)
 		}
 		fmt.Fprintln(w, "\ntake their change into your file, then: sycamorectl publish FILE --base current --id new")
 	case api.ResultUnknown:
-		fmt.Fprintf(w, "unknown: %s may yet come in force. %s\n", said.ID, said.Detail)
-		fmt.Fprintf(w, "to learn what became of it, publish it again as it was, which is harmless: sycamorectl publish FILE --base %d --id %s\n", said.Base, said.ID)
+		fmt.Fprintf(w, "unknown: %s may yet come in force. %s\n", result.ID, result.Detail)
+		fmt.Fprintf(w, "to learn what became of it, publish it again as it was, which is harmless: sycamorectl publish FILE --base %d --id %s\n", result.Base, result.ID)
 	case api.ResultNotPublished:
-		fmt.Fprintf(w, "not published: nothing was changed. %s\n", said.Detail)
+		fmt.Fprintf(w, "not published: nothing was changed. %s\n", result.Detail)
 	}
 }
--- a/internal/ctl/publish_test.go
+++ b/internal/ctl/publish_test.go
@@ -14,7 +14,7 @@
 func raise(d *document.Document) { d.Limits.InFlight = 9000 }
 
 var _ = Describe("check", func() {
-	It("takes a sound document without any entry", func() {
+	It("accepts a valid document without any entry", func() {
 		got := run("check", write("d.json", operatorstest.Bytes(operatorstest.Document(2))))
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(ContainSubstring("no faults"))
@@ -30,14 +30,14 @@
 		Expect(got.out).To(ContainSubstring("limits.in_flight: 0 is out of bounds"))
 
 		got = run("check", "-o", "json", write("d.json", operatorstest.Bytes(d)))
-		var said struct {
+		var output struct {
 			Faults []document.Fault `json:"faults"`
 		}
-		Expect(json.Unmarshal([]byte(got.out), &said)).To(Succeed())
-		Expect(said.Faults).To(HaveLen(len(d.Check())))
+		Expect(json.Unmarshal([]byte(got.out), &output)).To(Succeed())
+		Expect(output.Faults).To(HaveLen(len(d.Check())))
 	})
 
-	It("names the remedy where there is no document", func() {
+	It("names the remedy if the file is missing or malformed", func() {
 		Expect(run("check", "/nowhere/d.json").code).To(Equal(1))
 		got := run("check", write("d.json", []byte(`{"schema":1,"tears":[]}`)))
 		Expect(got.code).To(Equal(1))
@@ -46,16 +46,16 @@
 })
 
 var _ = Describe("publish", func() {
-	It("says under which version the document came in force", func() {
-		fake := fakeWith(2)
-		got := run("publish", edited(fake, "second", lower), "--settings", settingsFor(fake.Addresses()...))
+	It("reports the version under which the document is in force", func() {
+		fake := startFake(2)
+		got := run("publish", editedFile(fake, "second", lower), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(ContainSubstring("accepted: second is in force as version 2"))
 	})
 
-	It("takes the version in force as base, and draws an id", func() {
-		fake := fakeWith(1)
-		path := edited(fake, "first", lower)
+	It("uses the version in force as base, and generates an id", func() {
+		fake := startFake(1)
+		path := editedFile(fake, "first", lower)
 		fake.Publish(fake.Racing("other", func(d *document.Document) { d.Tiers[0].DeadlineMS++ }))
 		got := run("publish", path, "--base", "current", "--id", "new", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err+got.out)
@@ -64,12 +64,12 @@
 		Expect(id).NotTo(BeElementOf("first", "other"))
 	})
 
-	// Two operators start from the same version; the other's document is first on
-	// the log. The client's document must not come in force, and the operator must
-	// see who came first and what differs, with the exit code for beaten.
-	It("shows by whom it was beaten and the difference", func() {
-		fake := fakeWith(1)
-		path := edited(fake, "mine", lower)
+	// Two operators start from the same version, and the other's document is first
+	// in the log. The client's document must not come into force, and the output
+	// must show the other document and the difference, with the exit code for beaten.
+	It("shows the document that superseded this one, and the difference", func() {
+		fake := startFake(1)
+		path := editedFile(fake, "mine", lower)
 		fake.BeforeNextPublish(func() { fake.Publish(fake.Racing("theirs", raise)) })
 		got := run("publish", path, "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(2))
@@ -79,12 +79,13 @@
 		Expect(id).To(Equal("theirs"))
 	})
 
-	// The log is out: the entry cannot say whether the record will land. The client
-	// says unknown with a command that settles it. After the outage the record has
-	// landed, and that command reports the first acceptance, not a second version.
-	It("says unknown while the log is out, and settles it later", func() {
-		fake := fakeWith(1)
-		path := edited(fake, "mine", lower)
+	// During a log outage the entry cannot determine whether the record will be
+	// appended. The client reports unknown, with a command that resolves it. After
+	// the outage the record is in the log, and that command reports the first
+	// acceptance, not a second version.
+	It("reports unknown during a log outage, and resolves it later", func() {
+		fake := startFake(1)
+		path := editedFile(fake, "mine", lower)
 		settings := settingsFor(fake.Addresses()...)
 		fake.SetLogOut(true)
 		got := run("publish", path, "--settings", settings)
@@ -96,53 +97,53 @@
 		Expect(got.out).To(ContainSubstring("as version 2"))
 	})
 
-	// The entry publishes, then dies before it answers. The client asks the next
-	// entry with the same bytes: one version, and a true "accepted".
-	It("asks the next entry when the answer is lost", func() {
-		fake := fakeWith(2)
+	// The entry publishes, then crashes before it answers. The client sends the same
+	// bytes to the next entry: there is one new version, reported as accepted.
+	It("tries the next entry if the answer is lost", func() {
+		fake := startFake(2)
 		fake.Entry(0).LoseAnswers(true)
-		got := run("publish", edited(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
+		got := run("publish", editedFile(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err)
 		version, _, _ := fake.Document()
 		Expect(version).To(Equal(int64(2)))
 	})
 
-	// The only entry publishes and its answer is lost. To say "cannot be reached"
+	// The only entry publishes and its answer is lost. Reporting it as unreachable
 	// would suggest that nothing happened, while the document is in force.
-	It("says unknown when the answer is lost and nobody else can be asked", func() {
-		fake := fakeWith(1)
+	It("reports unknown if the answer is lost and there is no other entry", func() {
+		fake := startFake(1)
 		fake.Entry(0).LoseAnswers(true)
-		got := run("publish", edited(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
+		got := run("publish", editedFile(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(3), got.err)
 		version, _, _ := fake.Document()
 		Expect(version).To(Equal(int64(2)))
 	})
 
-	It("sends nothing that has faults", func() {
-		fake := fakeWith(1)
-		got := run("publish", edited(fake, "mine", func(d *document.Document) { d.Limits.Connections = 0 }), "--settings", settingsFor(fake.Addresses()...))
+	It("does not publish a document with faults", func() {
+		fake := startFake(1)
+		got := run("publish", editedFile(fake, "mine", func(d *document.Document) { d.Limits.Connections = 0 }), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(1))
 		Expect(got.out).To(ContainSubstring("limits.connections"))
 		version, _, _ := fake.Document()
 		Expect(version).To(Equal(int64(1)))
 	})
 
-	// An operator prints the document, edits it and forgets to change its id. The
-	// entries would ignore the record and report the older acceptance.
-	It("refuses an edited document that kept the id in force", func() {
-		fake := fakeWith(1)
-		got := run("publish", edited(fake, "first", lower), "--settings", settingsFor(fake.Addresses()...))
+	// An operator prints the document, edits it and does not change its id. The
+	// entries would ignore the record and report the earlier acceptance.
+	It("rejects an edited document with the id of the one in force", func() {
+		fake := startFake(1)
+		got := run("publish", editedFile(fake, "first", lower), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(1))
 		Expect(got.err).To(ContainSubstring("--id new"))
 	})
 
 	// The first publication is undecided when the operator edits the file and sends
-	// it under the same id. The first lands; "accepted" alone would hide that the
-	// edit is not in force.
-	It("tells an id that came in force with other content", func() {
-		fake := fakeWith(1)
+	// it under the same id. The first is accepted; reporting only "accepted" would
+	// hide that the edit is not in force.
+	It("reports an id that was accepted with other content", func() {
+		fake := startFake(1)
 		settings := settingsFor(fake.Addresses()...)
-		first, second := edited(fake, "mine", lower), edited(fake, "mine", raise)
+		first, second := editedFile(fake, "mine", lower), editedFile(fake, "mine", raise)
 		fake.SetLogOut(true)
 		Expect(run("publish", first, "--settings", settings).code).To(Equal(3))
 		fake.BeforeNextPublish(func() { fake.SetLogOut(false) })
@@ -151,17 +152,17 @@
 		Expect(got.err).To(ContainSubstring("other content"))
 	})
 
-	It("says when the log took nothing", func() {
-		fake := fakeWith(1)
+	It("reports that the log refused the record", func() {
+		fake := startFake(1)
 		fake.SetLogRefuses(true)
-		got := run("publish", edited(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
+		got := run("publish", editedFile(fake, "mine", lower), "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(2))
 		Expect(got.out).To(ContainSubstring("nothing was changed"))
 	})
 
-	It("says when no entry can be reached", func() {
-		fake := fakeWith(1)
-		path := edited(fake, "mine", lower)
+	It("reports that no entry can be reached", func() {
+		fake := startFake(1)
+		path := editedFile(fake, "mine", lower)
 		settings := settingsFor(fake.Addresses()...)
 		fake.Close()
 		got := run("publish", path, "--settings", settings)
@@ -169,11 +170,11 @@
 		Expect(got.err).To(ContainSubstring("see that the entries run"))
 	})
 
-	It("shows no difference as none, and a change with both values", func() {
-		fake := fakeWith(1)
+	It("shows equal documents as such, and a change with both values", func() {
+		fake := startFake(1)
 		settings := settingsFor(fake.Addresses()...)
-		Expect(run("diff", edited(fake, "x", func(*document.Document) {}), "--settings", settings).out).To(ContainSubstring(`~ comment: "to begin with" -> "x"`))
-		got := run("diff", edited(fake, "x", lower), "--settings", settings)
+		Expect(run("diff", editedFile(fake, "x", func(*document.Document) {}), "--settings", settings).out).To(ContainSubstring(`~ comment: "to begin with" -> "x"`))
+		got := run("diff", editedFile(fake, "x", lower), "--settings", settings)
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(ContainSubstring("~ limits.in_flight: 4000 -> 100"))
 		a := write("a.json", operatorstest.Bytes(operatorstest.Document(1)))
@@ -183,7 +184,7 @@
 	})
 
 	It("prints the document in force so that it can be published again", func() {
-		fake := fakeWith(1)
+		fake := startFake(1)
 		settings := settingsFor(fake.Addresses()...)
 		got := run("document", "--settings", settings)
 		Expect(got.code).To(Equal(0), got.err)
--- a/internal/ctl/resolve.go
+++ b/internal/ctl/resolve.go
@@ -12,7 +12,7 @@
 	var zone, entry string
 	cmd := &cobra.Command{
 		Use:   "resolve",
-		Short: "Ask, as a caller does, which entries to use",
+		Short: "Show which entries a caller should use",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			address, err := a.callersAddress(entry)
--- a/internal/ctl/rollouts.go
+++ b/internal/ctl/rollouts.go
@@ -10,33 +10,33 @@
 	"github.com/spf13/cobra"
 )
 
-// errRollouts is wrapped by errors of showing roll-outs from logs.
+// errRollouts is wrapped by all errors of the rollouts command.
 var errRollouts = errors.New("cannot show roll-outs")
 
-// eventRollout is the line that entries write of a roll-out.
+// eventRollout is the event name of log lines about roll-outs.
 const eventRollout = "rollout"
 
-// rolloutView is what the logs say of one roll-out.
+// rolloutView summarizes the log lines of one roll-out.
 type rolloutView struct {
 	Service string `json:"service"`
 	// Order is the order's number, To the version to move to.
 	Order      int64   `json:"order"`
 	To         string  `json:"to"`
 	DurationMS float64 `json:"duration_ms"`
-	// Ordered are the entries that know the order.
+	// Ordered lists the entries that received the order.
 	Ordered []string       `json:"ordered"`
 	Phases  []rolloutPhase `json:"phases"`
 	Steps   []rolloutStep  `json:"steps"`
 }
 
-// rolloutPhase tells which entries came to believe in a phase.
+// rolloutPhase lists the entries that entered a phase.
 type rolloutPhase struct {
 	Phase       string   `json:"phase"`
 	First, Last string   `json:"-"`
 	Entries     []string `json:"entries"`
 }
 
-// rolloutStep is a leader's decision that is in the store.
+// rolloutStep is a leader's decision that was written to the store.
 type rolloutStep struct {
 	Time     string  `json:"time"`
 	Leader   string  `json:"leader"`
@@ -52,10 +52,10 @@
 func (a *app) rolloutsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "rollouts [LOG...]",
-		Short: "Show roll-outs of versions from order to end, as the entries' logs tell them",
+		Short: "Show roll-outs of versions from order to end, as recorded in the entries' logs",
 		Long: `Reads JSON lines of the entries from files, or from standard input. Of each roll-out it
-shows the leader's steps with what decided them, and when and at how many entries each
-phase began. An entry that is missing from a phase did not hear of it.
+shows the leader's steps with their inputs, and when and at how many entries each
+phase began. An entry that is missing from a phase did not receive it.
 See docs/OPERATIONS.md.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLines(cmd.InOrStdin(), args, func(l logLine) bool { return l.event == eventRollout })
@@ -63,7 +63,7 @@
 				return fmt.Errorf("%w: %w", errRollouts, err)
 			}
 			if len(lines) == 0 {
-				return fmt.Errorf("%w: no line of the logs tells of one", errRollouts)
+				return fmt.Errorf("%w: no line of the logs reports a roll-out", errRollouts)
 			}
 			views := rolloutsOf(lines)
 			return a.print(views, func(w io.Writer) { printRollouts(w, views) })
@@ -71,7 +71,7 @@
 	}
 }
 
-// rolloutsOf sums lines up by order, in the order in which these were first heard of.
+// rolloutsOf groups the lines by roll-out, in order of each roll-out's first line.
 func rolloutsOf(lines []logLine) []*rolloutView {
 	var views []*rolloutView
 	for _, line := range lines {
@@ -81,13 +81,12 @@
 			at = len(views)
 			views = append(views, &rolloutView{Service: service, Order: order, To: line.text("to")})
 		}
-		views[at].take(line)
+		views[at].addLine(line)
 	}
 	return views
 }
 
-// take adds a line.
-func (v *rolloutView) take(line logLine) {
+func (v *rolloutView) addLine(line logLine) {
 	switch phase := line.text("phase"); {
 	case line.text("action") != "":
 		v.Steps = append(v.Steps, stepOf(line))
@@ -95,12 +94,12 @@
 		v.DurationMS = line.number("duration_ms")
 		v.Ordered = append(v.Ordered, line.entry)
 	case phase != "":
-		v.enter(phase, line)
+		v.addPhase(phase, line)
 	}
 }
 
-// enter notes that an entry came to believe in a phase.
-func (v *rolloutView) enter(phase string, line logLine) {
+// addPhase records that the line's entry entered the phase.
+func (v *rolloutView) addPhase(phase string, line logLine) {
 	at := slices.IndexFunc(v.Phases, func(p rolloutPhase) bool { return p.Phase == phase })
 	if at < 0 {
 		at = len(v.Phases)
@@ -155,7 +154,7 @@
 	columns(w, []string{"PHASE", "FIRST", "LAST", "ENTRIES"}, rows)
 }
 
-// shortNumber writes a number with one decimal where it needs one.
+// shortNumber formats a number with at most one decimal, truncated.
 func shortNumber(number float64) string {
 	const tenths = 10
 	rounded := float64(int64(number*tenths)) / tenths
--- a/internal/ctl/rollouts_test.go
+++ b/internal/ctl/rollouts_test.go
@@ -9,8 +9,9 @@
 )
 
 var _ = Describe("rollouts", func() {
-	// Two entries, of which the second leads and the first has not heard of the end; the
-	// lines were collected out of order, with those of another service and of requests.
+	// The second of two entries is the leader, and the first has not received the end of
+	// the roll-out. The lines were collected out of order, with lines of another service
+	// and of requests.
 	const log = `prefix {"entry":"entry-2","msg":"rollout","service":"desk","order":7,"to":"v2","action":"roll_back","reason":"failures","answers":12,"bad":9,"expected":0.25,"worse":11.62,"time":"2026-01-01T00:00:05Z"}
 {"entry":"entry-1","msg":"rollout","service":"desk","order":7,"to":"v2","phase":"ordered","duration_ms":12000,"time":"2026-01-01T00:00:01Z"}
 {"entry":"entry-2","msg":"rollout","service":"desk","order":7,"to":"v2","phase":"ordered","duration_ms":12000,"time":"2026-01-01T00:00:02Z"}
@@ -27,7 +28,7 @@
 		return out.String() + errors.String(), code
 	}
 
-	It("shows the steps with what decided them, and how many entries came to each phase", func() {
+	It("shows the steps with their inputs, and how many entries entered each phase", func() {
 		shown, code := show()
 		Expect(code).To(Equal(exitDone))
 		Expect(shown).To(Equal(`desk to v2, order 7, within 12 s, known to 2 entries
@@ -49,7 +50,7 @@
 		Expect(shown).To(MatchRegexp(`"entries": \[\s+"entry-2",\s+"entry-1"\s+\]`))
 	})
 
-	It("says that the logs tell of none, and which file cannot be read", func() {
+	It("reports logs without a roll-out, and names the file that cannot be read", func() {
 		var out, errors bytes.Buffer
 		Expect(Run("dev", []string{"rollouts"}, Streams{In: strings.NewReader("{}\n"), Out: &out, Err: &errors})).To(Equal(exitFault))
 		Expect(errors.String()).To(ContainSubstring("no line of the logs"))
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -15,7 +15,7 @@
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Show every listed entry: state, incarnation, version in force, requests in flight",
-		Long: `Asks each entry of the settings. Exit codes: 0 all answer and hold the same version,
+		Long: `Queries each entry of the settings. Exit codes: 0 all answer and hold the same version,
 3 versions differ, 4 an entry does not answer.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -28,15 +28,15 @@
 	}
 }
 
-// statusReport is the JSON of sycamorectl status.
+// statusReport is the JSON output of the status command.
 type statusReport struct {
 	Entries []statusRow `json:"entries"`
-	// VersionsDiffer: the entries that answered hold more than one version.
+	// VersionsDiffer is true if the entries that answered hold more than one version.
 	VersionsDiffer bool `json:"versions_differ"`
 	// Newest is the highest version that an entry holds.
 	Newest int64 `json:"newest"`
-	// Silent counts the entries that gave no status.
-	Silent int `json:"silent"`
+	// Unanswered is the number of entries that returned no status.
+	Unanswered int `json:"silent"`
 }
 
 type statusRow struct {
@@ -50,20 +50,21 @@
 	if err := a.print(report, report.write); err != nil {
 		return err
 	}
-	if code := refusedCode(statuses); code != exitDone {
-		return silent(code)
+	if code := failureCode(statuses); code != exitDone {
+		return exitQuietly(code)
 	}
 	if report.VersionsDiffer {
-		return silent(exitUnknown)
+		return exitQuietly(exitUnknown)
 	}
 	return nil
 }
 
-// refusedCode is that of the first entry that gave no status.
-func refusedCode(statuses []operatorclient.EntryStatus) int {
-	for _, one := range statuses {
-		if one.Err != nil {
-			return exitCode(one.Err)
+// failureCode returns the exit code for the first entry that returned no status,
+// or exitDone if all did.
+func failureCode(statuses []operatorclient.EntryStatus) int {
+	for _, entry := range statuses {
+		if entry.Err != nil {
+			return exitCode(entry.Err)
 		}
 	}
 	return exitDone
@@ -73,17 +74,17 @@
 	report := statusReport{Entries: make([]statusRow, 0, len(statuses))}
 	seen := false
 	for i := range statuses {
-		one := &statuses[i]
-		row := statusRow{Address: one.Address}
-		if one.Err != nil {
-			row.Error = one.Err.Error()
-			report.Silent++
+		entry := &statuses[i]
+		row := statusRow{Address: entry.Address}
+		if entry.Err != nil {
+			row.Error = entry.Err.Error()
+			report.Unanswered++
 			report.Entries = append(report.Entries, row)
 			continue
 		}
-		row.Status = &one.Status
-		report.VersionsDiffer = report.VersionsDiffer || seen && one.Status.Version != report.Newest
-		report.Newest = max(report.Newest, one.Status.Version)
+		row.Status = &entry.Status
+		report.VersionsDiffer = report.VersionsDiffer || seen && entry.Status.Version != report.Newest
+		report.Newest = max(report.Newest, entry.Status.Version)
 		seen = true
 		report.Entries = append(report.Entries, row)
 	}
--- a/internal/ctl/submit.go
+++ b/internal/ctl/submit.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// tokenVariable holds the organisation's token where no flag gives it.
+	// tokenVariable names the environment variable with the organisation's token,
+	// used if no flag gives the token.
 	tokenVariable = "SYCAMORE_ORGANISATION_TOKEN"
-	// answerTimeout is how long the answer is waited for past the deadline, or in
-	// all where no deadline is given.
+	// answerMargin is the wait for the answer past the request's deadline;
+	// answerTimeout is the whole wait if no deadline is given.
 	answerMargin  = 10 * time.Second
 	answerTimeout = 3 * time.Minute
 )
@@ -42,7 +43,7 @@
 	var s submission
 	cmd := &cobra.Command{
 		Use:   "submit",
-		Short: "Send one request through the system as a caller would, and print what became of it",
+		Short: "Send one request through the system as a caller would, and print the outcome",
 		Long: `Asks which entry to use, sends one completion (--model, --prompt) or one service call
 (--service, --path) there, and prints the outcome and the answer. The request is sent once.
 
@@ -74,8 +75,8 @@
 	return cmd
 }
 
-// submitted is the JSON of an answer.
-type submitted struct {
+// submitResult is the JSON output of the submit command.
+type submitResult struct {
 	Entry      string `json:"entry"`
 	HTTPStatus int    `json:"http_status"`
 	RequestID  string `json:"request_id"`
@@ -90,28 +91,28 @@
 	if err := a.readToken(&s); err != nil {
 		return err
 	}
-	asked, err := a.callersAddress(s.entry)
+	resolver, err := a.callersAddress(s.entry)
 	if err != nil {
 		return err
 	}
-	answer, err := resolve(asked, s.zone)
+	answer, err := resolve(resolver, s.zone)
 	if err != nil {
 		return err
 	}
 	if len(answer.Entries) == 0 || answer.IDPrefix == "" {
-		return exit(exitRefused, "entry at %s names no entry to use; see: sycamorectl status", asked)
+		return exit(exitRefused, "entry at %s returned no entry to use; see: sycamorectl status", resolver)
 	}
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	address := answer.Entries[0].Address
 	id := answer.IDPrefix + rand.Text()
-	if err := a.fill(req, address, id, s); err != nil {
+	if err := a.fillRequest(req, address, id, s); err != nil {
 		return err
 	}
 	return a.send(req, address, id, s.deadlineMS)
 }
 
-// readToken takes the organisation's token from a flag, a file or the
+// readToken reads the organisation's token from a flag, a file or the
 // environment.
 func (a *app) readToken(s *submission) error {
 	if s.tokenFile != "" {
@@ -142,12 +143,12 @@
 	Content string `json:"content"`
 }
 
-func (a *app) fill(req *fasthttp.Request, address, id string, s submission) error {
+func (a *app) fillRequest(req *fasthttp.Request, address, id string, s submission) error {
 	header := &req.Header
 	header.Set(fasthttp.HeaderAuthorization, "Bearer "+s.token)
 	header.Set(headerRequestID, id)
-	setField(header, headerTier, s.tier)
-	setField(header, headerKey, s.key)
+	setHeader(header, headerTier, s.tier)
+	setHeader(header, headerKey, s.key)
 	if s.deadlineMS > 0 {
 		header.Set(headerDeadline, strconv.Itoa(s.deadlineMS))
 	}
@@ -167,7 +168,7 @@
 	return nil
 }
 
-func setField(header *fasthttp.RequestHeader, name, value string) {
+func setHeader(header *fasthttp.RequestHeader, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
@@ -185,8 +186,8 @@
 	return nil
 }
 
-// send makes the one attempt. An answer that was lost is unknown: the request
-// may have run.
+// send sends the request once. If the answer is lost, the outcome is unknown,
+// because the request may have run.
 func (a *app) send(req *fasthttp.Request, address, id string, deadlineMS int) error {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
@@ -202,7 +203,7 @@
 		return exit(exitUnknown, "unknown: %v; request %s may have run; see: sycamorectl explain %s", err, id, id)
 	}
 	header := &resp.Header
-	said := submitted{
+	result := submitResult{
 		Entry:      address,
 		HTTPStatus: resp.StatusCode(),
 		RequestID:  string(header.Peek(headerRequestID)),
@@ -212,14 +213,14 @@
 		Checksum:   string(header.Peek(headerChecksum)),
 		Body:       string(resp.Body()),
 	}
-	if err := a.print(said, func(w io.Writer) { writeSubmitted(w, said) }); err != nil {
+	if err := a.print(result, func(w io.Writer) { writeSubmitResult(w, result) }); err != nil {
 		return err
 	}
-	return silent(outcomeCode(said.Outcome))
+	return exitQuietly(outcomeCode(result.Outcome))
 }
 
-func outcomeCode(said string) int {
-	switch outcome.Outcome(said) {
+func outcomeCode(value string) int {
+	switch outcome.Outcome(value) {
 	case outcome.Answered:
 		return exitDone
 	case outcome.NotRun:
@@ -228,7 +229,7 @@
 	return exitUnknown
 }
 
-func writeSubmitted(w io.Writer, s submitted) {
+func writeSubmitResult(w io.Writer, s submitResult) {
 	fmt.Fprintf(w, "entry: %s\nstatus: %d\n", s.Entry, s.HTTPStatus)
 	for _, field := range [][2]string{
 		{headerRequestID, s.RequestID}, {headerOutcome, s.Outcome}, {headerReason, s.Reason},
--- a/internal/ctl/targets.go
+++ b/internal/ctl/targets.go
@@ -87,7 +87,7 @@
 func (a *app) floorsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "floors",
-		Short: "Show the floors: pools in which nothing below a tier is served for now",
+		Short: "Show the tier floors: pools that currently serve no request below a tier",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			client, err := a.client()
@@ -105,7 +105,7 @@
 
 func writeFloors(w io.Writer, floors []api.Floor) {
 	if len(floors) == 0 {
-		fmt.Fprintln(w, "no floor stands")
+		fmt.Fprintln(w, "no floor is in force")
 		return
 	}
 	rows := make([][]string, len(floors))
--- a/internal/ctl/watch_test.go
+++ b/internal/ctl/watch_test.go
@@ -19,14 +19,14 @@
 
 var _ = Describe("status", func() {
 	It("lists every entry", func() {
-		fake := fakeWith(3)
+		fake := startFake(3)
 		got := run("status", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(MatchRegexp(`entry-3 .*ready .* 1 `))
 	})
 
-	It("says which entry holds another version", func() {
-		fake := fakeWith(3)
+	It("names the entry that holds another version", func() {
+		fake := startFake(3)
 		fake.Publish(fake.Racing("second", lower))
 		fake.Entry(1).Freeze(1)
 		got := run("status", "--settings", settingsFor(fake.Addresses()...))
@@ -34,24 +34,24 @@
 		Expect(got.out).To(ContainSubstring("entry-2 holds version 1"))
 	})
 
-	It("shows the others when one does not answer", func() {
-		fake := fakeWith(2)
+	It("shows the other entries if one does not answer", func() {
+		fake := startFake(2)
 		fake.Entry(0).Stop()
 		got := run("status", "-o", "json", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(4))
-		var said struct {
+		var output struct {
 			Silent  int `json:"silent"`
 			Entries []struct {
 				Status *api.Status `json:"status"`
 			} `json:"entries"`
 		}
-		Expect(json.Unmarshal([]byte(got.out), &said)).To(Succeed())
-		Expect(said.Silent).To(Equal(1))
-		Expect(said.Entries[1].Status.State).To(Equal("ready"))
+		Expect(json.Unmarshal([]byte(got.out), &output)).To(Succeed())
+		Expect(output.Silent).To(Equal(1))
+		Expect(output.Entries[1].Status.State).To(Equal("ready"))
 	})
 
 	It("names the remedy for a wrong token", func() {
-		fake := fakeWith(1)
+		fake := startFake(1)
 		data, err := json.Marshal(map[string]any{"entries": fake.Addresses(), "token": "wrong"})
 		Expect(err).NotTo(HaveOccurred())
 		got := run("targets", "--settings", write("ctl.json", data))
@@ -62,7 +62,7 @@
 
 var _ = Describe("targets and floors", func() {
 	It("shows scheduler, queue by tier and estimates", func() {
-		fake := fakeWith(1)
+		fake := startFake(1)
 		settings := settingsFor(fake.Addresses()...)
 		got := run("targets", "--settings", settings)
 		Expect(got.code).To(Equal(0), got.err)
@@ -76,11 +76,11 @@
 var _ = Describe("explain", func() {
 	const suffix = ".0.abc"
 
-	It("asks the entry whose incarnation the id begins with", func() {
-		fake := fakeWith(3)
+	It("queries the entry whose incarnation the id begins with", func() {
+		fake := startFake(3)
 		owner := fake.Entry(2)
 		id := owner.Incarnation + suffix
-		// The first entry would tell something else, were it asked first.
+		// The first entry has another record of the id, which must not be shown.
 		fake.Entry(0).Remember(api.Explanation{ID: id, Known: true, Standing: "wrong entry"})
 		owner.Remember(api.Explanation{ID: id, Known: true, Owner: owner.Name, Standing: "refused", Decisions: []api.Decision{{AgeMS: 1500, Event: "refused", Target: "engine-0", Reason: "overload"}}})
 		got := run("explain", id, "--settings", settingsFor(fake.Addresses()...))
@@ -91,15 +91,15 @@
 		Expect(got.out).To(ContainSubstring("What to do: " + reasons.Of(outcome.ReasonOverload).Remedy))
 	})
 
-	It("asks all when the owner is gone", func() {
-		fake := fakeWith(2)
+	It("queries all entries if the owner has departed", func() {
+		fake := startFake(2)
 		id := "ffffffffffffffff-9" + suffix
 		fake.Entry(1).Remember(api.Explanation{ID: id, Known: true, Standing: "unknown"})
 		Expect(run("explain", id, "--settings", settingsFor(fake.Addresses()...)).code).To(Equal(0))
 	})
 
-	It("says unknown where nobody remembers", func() {
-		fake := fakeWith(2)
+	It("reports unknown if no entry has a record", func() {
+		fake := startFake(2)
 		got := run("explain", "ffff-9"+suffix, "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(3))
 		Expect(got.out).To(ContainSubstring("no listed entry knows of it"))
@@ -107,8 +107,8 @@
 })
 
 var _ = Describe("drain and log-level", func() {
-	It("drains the one entry that is named", func() {
-		fake := fakeWith(2)
+	It("drains only the named entry", func() {
+		fake := startFake(2)
 		settings := settingsFor(fake.Addresses()...)
 		Expect(run("drain", "entry-2", "--settings", settings).code).To(Equal(0))
 		Expect(fake.Entry(0).State()).To(Equal("ready"))
@@ -119,7 +119,7 @@
 	})
 
 	It("sets the level at all entries", func() {
-		fake := fakeWith(2)
+		fake := startFake(2)
 		settings := settingsFor(fake.Addresses()...)
 		Expect(run("log-level", "debug", "--settings", settings).code).To(Equal(0))
 		Expect(fake.Entry(1).Level()).To(Equal("debug"))
@@ -127,8 +127,8 @@
 	})
 })
 
-// callersFake answers as the callers' interface of an entry.
-func callersFake(handle fasthttp.RequestHandler) string {
+// startCallers serves the callers' interface of an entry and returns its address.
+func startCallers(handle fasthttp.RequestHandler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	address := listener.Addr().String()
@@ -150,17 +150,17 @@
 		DeferCleanup(os.Unsetenv, "SYCAMORE_ORGANISATION_TOKEN")
 	})
 
-	It("asks the entry that the settings lead to", func() {
-		fake := fakeWith(1)
-		fake.Entry(0).SetCallersAddress(callersFake(nil))
+	It("queries the caller address of an entry in the settings", func() {
+		fake := startFake(1)
+		fake.Entry(0).SetCallersAddress(startCallers(nil))
 		got := run("resolve", "--zone", "b", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(MatchRegexp(`entry-1 .* b\n`))
 		Expect(got.out).To(ContainSubstring("good for 5s; ids begin with 01-1.0."))
 	})
 
-	DescribeTable("maps outcomes to exit codes", func(said string, status, code int) {
-		address := callersFake(func(ctx *fasthttp.RequestCtx) {
+	DescribeTable("maps outcomes to exit codes", func(outcomeValue string, status, code int) {
+		address := startCallers(func(ctx *fasthttp.RequestCtx) {
 			h := &ctx.Request.Header
 			ok := string(h.Peek("Authorization")) == "Bearer customer" && string(h.Peek("X-Tier")) == "rider" &&
 				strings.HasPrefix(string(h.Peek("X-Request-Id")), "01-1.0.") && strings.Contains(string(ctx.PostBody()), `"content":"Where?"`)
@@ -168,14 +168,14 @@
 				ctx.SetStatusCode(fasthttp.StatusTeapot)
 				return
 			}
-			ctx.Response.Header.Set("X-Outcome", said)
+			ctx.Response.Header.Set("X-Outcome", outcomeValue)
 			ctx.Response.Header.Set("Retry-After", "2")
 			ctx.SetStatusCode(status)
 			ctx.SetBodyString("the answer")
 		})
 		got := run("submit", "--entry", address, "--model", "assistant", "--prompt", "Where?", "--tier", "rider")
 		Expect(got.code).To(Equal(code), got.err)
-		Expect(got.out).To(ContainSubstring("X-Outcome: " + said))
+		Expect(got.out).To(ContainSubstring("X-Outcome: " + outcomeValue))
 		Expect(got.out).To(ContainSubstring("Retry-After: 2"))
 		Expect(got.out).To(ContainSubstring("the answer"))
 	},
@@ -185,11 +185,11 @@
 		Entry("unknown", "unknown", 502, 3),
 	)
 
-	// The entry dies after it took the request. It may have run at a target, so the
-	// client must not say that it could not be reached, nor send it again.
-	It("says unknown when the answer is lost, having sent once", func() {
+	// The entry crashes after it received the request, which may have run at a target.
+	// The client must neither report the entry as unreachable nor retry.
+	It("reports unknown if the answer is lost, and does not retry", func() {
 		var sent atomic.Int32
-		address := callersFake(func(ctx *fasthttp.RequestCtx) {
+		address := startCallers(func(ctx *fasthttp.RequestCtx) {
 			sent.Add(1)
 			ctx.HijackSetNoResponse(true)
 			ctx.Hijack(func(net.Conn) {})
@@ -200,7 +200,7 @@
 		Expect(sent.Load()).To(Equal(int32(1)))
 	})
 
-	It("names the remedies of wrong usage", func() {
+	It("names the remedies for wrong usage", func() {
 		Expect(run("submit").code).To(Equal(1))
 		Expect(run("status", "-o", "xml").err).To(ContainSubstring("write table or json"))
 		Expect(run("status", "--settings", "/nowhere.json").err).To(ContainSubstring("give --settings FILE"))
@@ -209,7 +209,7 @@
 })
 
 var _ = Describe("document", func() {
-	It("says what to do before the first", func() {
+	It("reports how to publish the first document if there is none", func() {
 		fake, err := operatorstest.Start(1, nil)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(fake.Close)
