--- a/internal/console/chromium_test.go
+++ b/internal/console/chromium_test.go
@@ -154,7 +154,7 @@
 	It("loses a race and goes on from the winner", func() {
 		o.proposes("5000")
 		s.fake.BeforeNextPublish(func() {
-			s.fake.Publish(s.fake.Racing("theirs", func(d *document.Document) {
+			s.fake.Publish(s.fake.Edited("theirs", func(d *document.Document) {
 				d.Limits.InFlight, d.Limits.Connections = 6000, 77
 			}))
 		})
--- a/internal/console/publish_test.go
+++ b/internal/console/publish_test.go
@@ -103,7 +103,7 @@
 		b := s.loggedIn()
 		b.review("5000")
 		s.fake.BeforeNextPublish(func() {
-			s.fake.Publish(s.fake.Racing("theirs", func(d *document.Document) {
+			s.fake.Publish(s.fake.Edited("theirs", func(d *document.Document) {
 				d.Limits.InFlight = 6000
 				d.Limits.Connections = 77
 			}))
@@ -126,7 +126,7 @@
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
-		s.fake.Publish(s.fake.Racing("theirs", func(d *document.Document) { d.Tiers = d.Tiers[:2]; d.Organisations[0].Tiers = []string{"rider"} }))
+		s.fake.Publish(s.fake.Edited("theirs", func(d *document.Document) { d.Tiers = d.Tiers[:2]; d.Organisations[0].Tiers = []string{"rider"} }))
 		b.post("/edit", "go", "limits")
 		Expect(b.status).To(Equal(http.StatusConflict))
 		Expect(b.text()).To(ContainSubstring("Another document came in force since you began: theirs"))
@@ -161,7 +161,7 @@
 		s.fake.SetLogOut(true)
 		b.post("/publish")
 		s.fake.SetLogOut(false)
-		s.fake.Publish(s.fake.Racing("next", func(d *document.Document) { d.Limits.Connections = 77 }))
+		s.fake.Publish(s.fake.Edited("next", func(d *document.Document) { d.Limits.Connections = 77 }))
 		b.post("/outcome")
 		Expect(b.text()).To(ContainSubstring("Accepted as version 2"))
 		Expect(b.text()).To(ContainSubstring("It was followed by version 3, next"))
--- a/internal/ctl/ctl_suite_test.go
+++ b/internal/ctl/ctl_suite_test.go
@@ -58,5 +58,5 @@
 
 // editedFile writes the document in force with a change to a file.
 func editedFile(fake *operatorstest.Fake, id string, edit func(*document.Document)) string {
-	return write("document.json", fake.Racing(id, edit))
+	return write("document.json", fake.Edited(id, edit))
 }
--- a/internal/ctl/publish_test.go
+++ b/internal/ctl/publish_test.go
@@ -56,7 +56,7 @@
 	It("uses the version in force as base, and generates an id", func() {
 		fake := startFake(1)
 		path := editedFile(fake, "first", lower)
-		fake.Publish(fake.Racing("other", func(d *document.Document) { d.Tiers[0].DeadlineMS++ }))
+		fake.Publish(fake.Edited("other", func(d *document.Document) { d.Tiers[0].DeadlineMS++ }))
 		got := run("publish", path, "--base", "current", "--id", "new", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err+got.out)
 		version, id, _ := fake.Document()
@@ -70,7 +70,7 @@
 	It("shows the document that superseded this one, and the difference", func() {
 		fake := startFake(1)
 		path := editedFile(fake, "mine", lower)
-		fake.BeforeNextPublish(func() { fake.Publish(fake.Racing("theirs", raise)) })
+		fake.BeforeNextPublish(func() { fake.Publish(fake.Edited("theirs", raise)) })
 		got := run("publish", path, "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(2))
 		Expect(got.out).To(ContainSubstring("beaten: theirs came first as version 2"))
--- a/internal/ctl/watch_test.go
+++ b/internal/ctl/watch_test.go
@@ -27,7 +27,7 @@
 
 	It("names the entry that holds another version", func() {
 		fake := startFake(3)
-		fake.Publish(fake.Racing("second", lower))
+		fake.Publish(fake.Edited("second", lower))
 		fake.Entry(1).Freeze(1)
 		got := run("status", "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(3))
--- a/internal/operators/api.go
+++ b/internal/operators/api.go
@@ -1,5 +1,5 @@
-// Package operators serves the operators' HTTP interface of an entry. Its paths
-// and JSON are defined in package api; the names here stand for those.
+// Package operators serves the operators' HTTP interface of an entry. The paths
+// and JSON types are defined in package api; this package aliases them.
 package operators
 
 import "sycamoretrail/internal/operators/api"
@@ -15,7 +15,7 @@
 	PathLogLevel = api.PathLogLevel
 )
 
-// What may become of a publication.
+// Results of a publication.
 const (
 	ResultAccepted     = api.ResultAccepted
 	ResultBeaten       = api.ResultBeaten
@@ -24,7 +24,7 @@
 	ResultNotPublished = api.ResultNotPublished
 )
 
-// JSON of the interface.
+// JSON types of the interface.
 type (
 	Status      = api.Status
 	Member      = api.Member
--- a/internal/operators/api/api.go
+++ b/internal/operators/api/api.go
@@ -1,7 +1,7 @@
-// Package api defines the paths and the JSON of the operators' interface of an
-// entry, which the entry, sycamorectl and the console share. It stands apart
-// from the server so that the clients need nothing of an entry. Times are
-// milliseconds.
+// Package api defines the paths and the JSON types of the operators' interface of
+// an entry, which the entry, sycamorectl and the console share. It is separate
+// from the server so that clients do not depend on packages of the entry. Times
+// are in milliseconds.
 package api
 
 import (
@@ -25,14 +25,15 @@
 type Status struct {
 	Entry Member `json:"entry"`
 	State string `json:"state"`
-	// Version is the document in force here; 0: none yet.
+	// Version is the version of the document in force at this entry, or 0 if there
+	// is none yet.
 	Version    int64  `json:"version"`
 	DocumentID string `json:"document_id"`
 	InFlight   int    `json:"in_flight"`
-	// LogAvailable: the stream of documents could be read lately.
+	// LogAvailable reports whether recent reads of the document stream succeeded.
 	LogAvailable bool   `json:"log_available"`
 	Peers        []Peer `json:"peers"`
-	// WaitingInputs is the length of the core's ring.
+	// WaitingInputs is the number of inputs queued for the core.
 	WaitingInputs int `json:"waiting_inputs"`
 }
 
@@ -45,13 +46,14 @@
 	CallerAddress string `json:"caller_address"`
 }
 
-// Peer is another entry as this one sees it.
+// Peer is another entry, as reported to this one.
 type Peer struct {
 	Member
 	State    string `json:"state"`
 	Version  int64  `json:"version"`
 	InFlight int    `json:"in_flight"`
-	// Linked: a link stands. SilentMS is the time since its last heartbeat.
+	// Linked reports whether a link is open. SilentMS is the time since the last
+	// heartbeat.
 	Linked   bool  `json:"linked"`
 	SilentMS int64 `json:"silent_ms"`
 }
@@ -61,16 +63,16 @@
 	Targets []Target `json:"targets"`
 }
 
-// Target is a target as this entry sees it.
+// Target is the state of a target, as this entry has it.
 type Target struct {
 	Name  string `json:"name"`
 	Pool  string `json:"pool"`
 	Class string `json:"class"`
 	Zone  string `json:"zone"`
-	// Scheduler names the entry that gives out its places.
+	// Scheduler names the entry that grants the target's slots.
 	Scheduler string `json:"scheduler"`
-	// Here: the scheduler is this entry, so that the fields below are exact;
-	// else they are from its last heartbeat.
+	// Here is true if this entry is the scheduler, so that the fields below are
+	// exact; otherwise they are from the scheduler's last heartbeat.
 	Here         bool    `json:"here"`
 	Available    bool    `json:"available"`
 	Leaving      bool    `json:"leaving"`
@@ -89,18 +91,18 @@
 	Floors []Floor `json:"floors"`
 }
 
-// Floor says that nothing below a tier is served in a pool for now.
+// Floor is a tier floor: the lowest tier that a pool currently serves.
 type Floor struct {
 	Pool string       `json:"pool"`
 	Tier request.Tier `json:"tier"`
-	// RemainingMS is how long it stands yet.
+	// RemainingMS is the time until the floor expires.
 	RemainingMS int64 `json:"remaining_ms"`
-	// AskedBy names the entry whose request raised it.
+	// AskedBy names the entry whose request raised the floor.
 	AskedBy string `json:"asked_by"`
 }
 
-// Explanation answers GET /admin/v1/explain?id=. Known is false where this entry
-// remembers nothing of the request; Owner says which entry may.
+// Explanation answers GET /admin/v1/explain?id=. Known is false if this entry has
+// no record of the request; Owner names the entry that may have one.
 type Explanation struct {
 	ID        string     `json:"id"`
 	Known     bool       `json:"known"`
@@ -109,9 +111,9 @@
 	Decisions []Decision `json:"decisions"`
 }
 
-// Decision is one thing that was decided on a request.
+// Decision is one decision on a request.
 type Decision struct {
-	// AgeMS is how long ago.
+	// AgeMS is the time since the decision.
 	AgeMS  int64        `json:"age_ms"`
 	Event  string       `json:"event"`
 	Target string       `json:"target,omitempty"`
@@ -122,28 +124,30 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// Document answers GET /admin/v1/document. Data is the document's JSON as it
-// was published; null: none is in force.
+// Document answers GET /admin/v1/document. Data is the document's JSON as
+// published, or null if none is in force.
 type Document struct {
 	Version int64           `json:"version"`
 	ID      string          `json:"id"`
 	Data    json.RawMessage `json:"document"`
 }
 
-// Result is what became of a publication.
+// Result is the result of a publication.
 type Result string
 
 const (
-	// ResultAccepted: in force; Version says as which.
+	// ResultAccepted means that the document came into force as Version.
 	ResultAccepted Result = "accepted"
-	// ResultBeaten: another document came first; Winner is its id.
+	// ResultBeaten means that another document was accepted first; Winner is its id.
 	ResultBeaten Result = "beaten"
-	// ResultUnknown: the log is out or the answer was lost. It may yet come in
-	// force; asking again with the same id is harmless.
+	// ResultUnknown means that the log is unavailable or its answer was lost. The
+	// document may still come into force; publishing it again with the same id is
+	// harmless.
 	ResultUnknown Result = "unknown"
-	// ResultInvalid: refused by the check; nothing was published.
+	// ResultInvalid means that the check failed; nothing was published.
 	ResultInvalid Result = "invalid"
-	// ResultNotPublished: the log said no; nothing was published.
+	// ResultNotPublished means that the log refused the record; nothing was
+	// published.
 	ResultNotPublished Result = "not_published"
 )
 
@@ -153,13 +157,13 @@
 	Result  Result `json:"result"`
 	Version int64  `json:"version,omitempty"`
 	Winner  string `json:"winner,omitempty"`
-	// WinnerVersion is the version of the document that beat this one.
+	// WinnerVersion is the version of the document that superseded this one.
 	WinnerVersion int64   `json:"winner_version,omitempty"`
 	Faults        []Fault `json:"faults,omitempty"`
 	Detail        string  `json:"detail,omitempty"`
 }
 
-// Fault is one thing wrong with a document.
+// Fault is one fault of a document.
 type Fault struct {
 	Path    string `json:"path"`
 	Problem string `json:"problem"`
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -28,11 +28,11 @@
 	return hex.EncodeToString(hash[:])
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// fake stands for the entry, its log and its controls.
+// fake implements Inspector, Controls and Log, and checks documents.
 type fake struct {
-	verdicts  []Published
+	results   []Published
 	appended  []record.Record
 	appendErr error
 	drains    int
@@ -42,7 +42,7 @@
 func (f *fake) Status(context.Context) (Status, error) {
 	return Status{State: "ready", Version: 9}, nil
 }
-func (f *fake) Targets(context.Context) (Targets, error) { return Targets{}, errSilent }
+func (f *fake) Targets(context.Context) (Targets, error) { return Targets{}, errNoAnswer }
 func (f *fake) Floors(context.Context) (Floors, error) {
 	return Floors{Floors: []Floor{{Pool: "p"}}}, nil
 }
@@ -53,19 +53,19 @@
 	return Document{Version: 9, ID: "d", Data: json.RawMessage(`{"id":"d"}`)}, nil
 }
 
-// Verdict gives the verdicts in turn, the last one again and again.
+// Verdict returns the results in turn and repeats the last one.
 func (f *fake) Verdict(_ context.Context, id string) (Published, error) {
-	if len(f.verdicts) == 0 {
+	if len(f.results) == 0 {
 		return Published{}, nil
 	}
-	verdict := f.verdicts[0]
-	if len(f.verdicts) > 1 {
-		f.verdicts = f.verdicts[1:]
+	result := f.results[0]
+	if len(f.results) > 1 {
+		f.results = f.results[1:]
 	}
-	if verdict.Result != "" {
-		verdict.ID = id
+	if result.Result != "" {
+		result.ID = id
 	}
-	return verdict, nil
+	return result, nil
 }
 
 func (f *fake) AppendNow(stream record.Stream, data []byte) (int64, error) {
@@ -106,7 +106,7 @@
 		log.SetOutput(io.Discard)
 		server, err := New(Options{
 			TokenSHA256: hashOf(token), Inspector: f, Controls: f, Check: f.check, Log: f, Logger: log,
-			VerdictTimeout: 200 * time.Millisecond,
+			ResultTimeout: 200 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		listener := fasthttputil.NewInmemoryListener()
@@ -130,7 +130,7 @@
 		}
 	})
 
-	It("answers nobody without the token", func() {
+	It("rejects requests without the token", func() {
 		for _, auth := range []string{"", "Bearer ", "Bearer wrong", token, "Bearer " + hashOf(token), "Basic " + token} {
 			for _, path := range []string{PathStatus, PathTargets, PathFloors, PathDocument, PathExplain} {
 				status, body := call("GET", path, auth, "")
@@ -161,7 +161,7 @@
 		Expect(body).To(ContainSubstring("no answer"))
 	})
 
-	It("drains and changes the level of logging", func() {
+	It("drains the entry and changes the log level", func() {
 		status, _ := call("POST", PathDrain, "Bearer "+token, "")
 		Expect(status).To(Equal(202))
 		Expect(f.drains).To(Equal(1))
@@ -172,43 +172,43 @@
 		Expect(status).To(Equal(400))
 	})
 
-	It("publishes and waits for the verdict", func() {
-		f.verdicts = []Published{{}, {Result: ResultAccepted, Version: 12}}
+	It("publishes and waits for the result", func() {
+		f.results = []Published{{}, {Result: ResultAccepted, Version: 12}}
 		status, answer := published(`{"id":"d"}`)
 		Expect(status).To(Equal(200))
 		Expect(answer).To(Equal(Published{ID: "d", Result: ResultAccepted, Version: 12}))
 		Expect(f.appended).To(Equal([]record.Record{{Document: &record.Document{Data: []byte(`{"id":"d"}`)}}}))
 	})
 
-	// Two operators publish on the same base. The second is told by whom it was
-	// beaten, so that it can look at the difference and publish anew.
-	It("tells which document beat this one", func() {
-		f.verdicts = []Published{{Result: ResultBeaten, Winner: "other", WinnerVersion: 11}}
+	// Two operators publish on the same base. The answer to the second names the
+	// document that superseded it, so that the operator can compare and publish again.
+	It("names the document that superseded this one", func() {
+		f.results = []Published{{Result: ResultBeaten, Winner: "other", WinnerVersion: 11}}
 		status, answer := published(`{"id":"d"}`)
 		Expect(status).To(Equal(409))
 		Expect(answer).To(Equal(Published{ID: "d", Result: ResultBeaten, Winner: "other", WinnerVersion: 11}))
 	})
 
-	// The log took the record and its answer was lost. The record comes back all
-	// the same, and the operator hears "accepted", not an error after which the
-	// same document would be published twice.
-	It("settles a lost answer by reading back", func() {
+	// The log appended the record and its answer was lost. The entry still reads the
+	// record from the log and must answer "accepted", not an error after which the
+	// operator would publish the same document twice.
+	It("determines the result from the log if the append's answer was lost", func() {
 		f.appendErr = fmt.Errorf("%w: cut", logclient.ErrUnknown)
-		f.verdicts = []Published{{}, {Result: ResultAccepted, Version: 12}}
+		f.results = []Published{{}, {Result: ResultAccepted, Version: 12}}
 		_, answer := published(`{"id":"d"}`)
 		Expect(answer.Result).To(Equal(ResultAccepted))
 	})
 
-	It("says unknown when nothing comes back in time", func() {
+	It("reports unknown if the record is not read back in time", func() {
 		f.appendErr = fmt.Errorf("%w: cut", logclient.ErrUnknown)
 		status, answer := published(`{"id":"d"}`)
 		Expect(status).To(Equal(202))
 		Expect(answer.Result).To(Equal(ResultUnknown))
 	})
 
-	It("says that nothing was published after a definite no or a fault", func() {
+	It("reports that nothing was published if the log refuses or there are faults", func() {
 		f.appendErr = fmt.Errorf("%w: 503", logclient.ErrRefused)
-		f.verdicts = []Published{{Result: ResultAccepted}}
+		f.results = []Published{{Result: ResultAccepted}}
 		status, answer := published(`{"id":"d"}`)
 		Expect(status).To(Equal(503))
 		Expect(answer.Result).To(Equal(ResultNotPublished))
--- a/internal/operators/operatorstest/document.go
+++ b/internal/operators/operatorstest/document.go
@@ -7,7 +7,8 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// Document is a sound document with so many organisations, base 0.
+// Document returns a valid document with the given number of organisations and
+// base 0.
 func Document(organisations int) *document.Document {
 	d := &document.Document{
 		Schema:  document.Schema,
@@ -35,7 +36,7 @@
 		Shutdown: document.DefaultShutdown(),
 		Timing:   document.DefaultTiming(),
 	}
-	// Off, so that a form that turns it on changes something.
+	// Off, so that a form that turns it on changes the document.
 	d.Refusal.Early = false
 	for i := range organisations {
 		d.Organisations = append(d.Organisations, document.Organisation{
@@ -50,7 +51,7 @@
 	return d
 }
 
-// Bytes encodes a document, whose types cannot fail to.
+// Bytes encodes a document. Its types always encode without error.
 func Bytes(d *document.Document) []byte {
 	data, err := document.Encode(d)
 	if err != nil {
@@ -59,9 +60,9 @@
 	return data
 }
 
-// Racing is a document that another operator publishes: the one in force with
-// another id and the changes.
-func (f *Fake) Racing(id string, edit func(*document.Document)) []byte {
+// Edited returns the document in force with the id, the version in force as base
+// and the changes made by edit, such as another operator would publish.
+func (f *Fake) Edited(id string, edit func(*document.Document)) []byte {
 	version, _, data := f.Document()
 	d, err := document.Parse(data)
 	if err != nil {
--- a/internal/operators/operatorstest/fake.go
+++ b/internal/operators/operatorstest/fake.go
@@ -1,6 +1,7 @@
-// Package operatorstest fakes the operators' interface of several entries in one
-// process, for tests of its clients. The entries share a log that keeps
-// documents, judges them by base and id as entries do, and can be out.
+// Package operatorstest provides a fake of the operators' interface of several
+// entries in one process, for tests of its clients. The entries share a log that
+// keeps documents, accepts them by base and id as entries do, and can be
+// unavailable.
 package operatorstest
 
 import (
@@ -21,49 +22,49 @@
 // Token is the operators' token of every fake entry.
 const Token = "operator-token-of-the-fake"
 
-// TokenSHA256 is what settings hold of it.
+// TokenSHA256 returns the hex SHA-256 of Token, as settings hold it.
 func TokenSHA256() string {
 	sum := sha256.Sum256([]byte(Token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Fake is a log with entries that follow it. Its methods may be called from any
-// goroutine.
+// Fake is a log with entries that follow it. Its methods are safe for concurrent
+// use.
 type Fake struct {
-	mu       sync.Mutex
-	entries  []*Entry
-	data     []byte
-	id       string
-	version  int64
-	verdicts map[string]api.Published
-	logOut   bool
-	refuses  bool
-	pending  [][]byte
-	before   func()
+	mu            sync.Mutex
+	entries       []*Entry
+	data          []byte
+	id            string
+	version       int64
+	results       map[string]api.Published
+	logOut        bool
+	logRefuses    bool
+	pending       [][]byte
+	beforePublish func()
 }
 
 // Entry is one fake entry.
 type Entry struct {
-	// Address is where its operators' interface listens.
+	// Address is the address of the operators' interface.
 	Address string
-	// Name and Incarnation are what its status says.
+	// Name and Incarnation are reported in the status.
 	Name, Incarnation string
 
-	fake     *Fake
-	listener net.Listener
-	server   *fasthttp.Server
-	state    string
-	frozenAt int64
-	loses    bool
-	explains map[string]api.Explanation
-	level    string
-	callers  string
+	fake          *Fake
+	listener      net.Listener
+	server        *fasthttp.Server
+	state         string
+	frozenAt      int64
+	losesAnswers  bool
+	explains      map[string]api.Explanation
+	level         string
+	callerAddress string
 }
 
-// Start runs entries on loopback, with the document in force as version 1; nil:
-// none.
+// Start runs entries on loopback addresses. The document is in force as version 1;
+// if data is nil, none is in force.
 func Start(entries int, data []byte) (*Fake, error) {
-	f := &Fake{verdicts: make(map[string]api.Published)}
+	f := &Fake{results: make(map[string]api.Published)}
 	for i := range entries {
 		if err := f.startEntry(i); err != nil {
 			f.Close()
@@ -80,9 +81,9 @@
 	return f, nil
 }
 
-// ownLoopback is a loopback address that only this process uses. A port given
-// back on the common one may be taken at once by a server of another test, which
-// would then answer for an entry that was stopped.
+// ownLoopback returns a loopback address that only this process uses. On
+// 127.0.0.1, a server of another test could reuse a released port at once and
+// would then answer in place of a stopped entry.
 func ownLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16%254, pid>>8%256, 1+pid%254)
@@ -117,10 +118,10 @@
 	stopping.Wait()
 }
 
-// Entry returns the entry by its number from 0.
+// Entry returns the entry with the index, from 0.
 func (f *Fake) Entry(i int) *Entry { return f.entries[i] }
 
-// Addresses lists the operators' addresses.
+// Addresses returns the operators' addresses of the entries.
 func (f *Fake) Addresses() []string {
 	out := make([]string, len(f.entries))
 	for i, e := range f.entries {
@@ -129,22 +130,22 @@
 	return out
 }
 
-// Document returns what is in force.
+// Document returns the document in force.
 func (f *Fake) Document() (version int64, id string, data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.version, f.id, f.data
 }
 
-// Publish acts as another operator does.
+// Publish publishes a document as another operator does.
 func (f *Fake) Publish(data []byte) api.Published {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.take(data)
+	return f.accept(data)
 }
 
-// SetLogOut begins or ends an outage of the log. What was published during it
-// lands when it ends.
+// SetLogOut begins or ends an outage of the log. Documents published during an
+// outage are appended when it ends.
 func (f *Fake) SetLogOut(out bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,47 +154,47 @@
 		return
 	}
 	for _, data := range f.pending {
-		f.take(data)
+		f.accept(data)
 	}
 	f.pending = nil
 }
 
-// SetLogRefuses makes the log say no, so that nothing is published.
+// SetLogRefuses makes the log refuse records, so that nothing is published.
 func (f *Fake) SetLogRefuses(refuses bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refuses = refuses
+	f.logRefuses = refuses
 }
 
-// BeforeNextPublish runs once when a client publishes, before its document is
-// taken: another operator's document can come first there.
+// BeforeNextPublish sets a function that runs once, before the next document of a
+// client is processed, for example to publish another operator's document first.
 func (f *Fake) BeforeNextPublish(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.before = do
+	f.beforePublish = do
 }
 
-// take judges a record by the rules of acceptance.
-func (f *Fake) take(data []byte) api.Published {
+// accept applies the acceptance rules to a record and returns the result.
+func (f *Fake) accept(data []byte) api.Published {
 	doc, err := document.Parse(data)
 	if err != nil {
 		return api.Published{Result: api.ResultInvalid, Faults: []api.Fault{{Path: "(document)", Problem: err.Error(), Remedy: "write one JSON document"}}}
 	}
-	if known, seen := f.verdicts[doc.ID]; seen {
+	if known, seen := f.results[doc.ID]; seen {
 		return known
 	}
 	if faults := doc.Check(); len(faults) > 0 {
 		return invalid(doc.ID, faults)
 	}
-	verdict := api.Published{ID: doc.ID, Result: api.ResultBeaten, Winner: f.id, WinnerVersion: f.version}
+	result := api.Published{ID: doc.ID, Result: api.ResultBeaten, Winner: f.id, WinnerVersion: f.version}
 	if doc.Base == f.version {
 		f.version++
 		f.id = doc.ID
 		f.data = append([]byte(nil), data...)
-		verdict = api.Published{ID: doc.ID, Result: api.ResultAccepted, Version: f.version}
+		result = api.Published{ID: doc.ID, Result: api.ResultAccepted, Version: f.version}
 	}
-	f.verdicts[doc.ID] = verdict
-	return verdict
+	f.results[doc.ID] = result
+	return result
 }
 
 func invalid(id string, faults document.Faults) api.Published {
@@ -204,62 +205,62 @@
 	return out
 }
 
-// published is a client's publication.
-func (f *Fake) published(data []byte) api.Published {
+// publishFromClient handles a client's publication.
+func (f *Fake) publishFromClient(data []byte) api.Published {
 	f.mu.Lock()
-	before := f.before
-	f.before = nil
+	before := f.beforePublish
+	f.beforePublish = nil
 	f.mu.Unlock()
 	if before != nil {
 		before()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refuses {
+	if f.logRefuses {
 		return api.Published{Result: api.ResultNotPublished, Detail: "the log took nothing; publish again later"}
 	}
 	if !f.logOut {
-		return f.take(data)
+		return f.accept(data)
 	}
 	doc, err := document.Parse(data)
 	if err != nil {
-		return f.take(data)
+		return f.accept(data)
 	}
-	if known, seen := f.verdicts[doc.ID]; seen {
+	if known, seen := f.results[doc.ID]; seen {
 		return known
 	}
 	f.pending = append(f.pending, append([]byte(nil), data...))
 	return api.Published{ID: doc.ID, Result: api.ResultUnknown, Detail: "the log's answer was lost"}
 }
 
-// Stop ends the entry; it answers nothing from then on. Shutdown knows of the
-// listener only once Serve runs: stopped before that, the entry would go on to
-// answer, so the listener is closed apart.
+// Stop stops the entry. Shutdown closes the listener only if Serve is already
+// running; the listener is also closed separately, so that an entry stopped before
+// that does not answer.
 func (e *Entry) Stop() {
 	_ = e.server.Shutdown()
 	_ = e.listener.Close()
 }
 
-// Freeze makes the entry stay at a version whatever the log holds.
+// Freeze makes the entry report the version regardless of the log.
 func (e *Entry) Freeze(version int64) { e.locked(func() { e.frozenAt = version }) }
 
-// LoseAnswers makes the entry take what is published and close the connection
+// LoseAnswers makes the entry process publications and close the connection
 // without an answer.
-func (e *Entry) LoseAnswers(lose bool) { e.locked(func() { e.loses = lose }) }
+func (e *Entry) LoseAnswers(lose bool) { e.locked(func() { e.losesAnswers = lose }) }
 
-// Remember makes the entry know a request.
+// Remember adds a request to the entry's records.
 func (e *Entry) Remember(x api.Explanation) { e.locked(func() { e.explains[x.ID] = x }) }
 
-// SetCallersAddress is what the entry's status names.
-func (e *Entry) SetCallersAddress(address string) { e.locked(func() { e.callers = address }) }
+// SetCallersAddress sets the caller address in the entry's status.
+func (e *Entry) SetCallersAddress(address string) { e.locked(func() { e.callerAddress = address }) }
 
-// State is what the entry's status says.
+// State returns the state in the entry's status.
 func (e *Entry) State() (state string) {
 	e.locked(func() { state = e.state })
 	return state
 }
 
-// Level is the level of its logs that was set last.
+// Level returns the log level that was set last.
 func (e *Entry) Level() (level string) {
 	e.locked(func() { level = e.level })
 	return level
@@ -297,7 +298,7 @@
 	}
 }
 
-// resultStatus maps a result to an HTTP status as the entry does.
+// resultStatus maps a result to an HTTP status, as entries do.
 var resultStatus = map[api.Result]int{
 	api.ResultAccepted:     fasthttp.StatusOK,
 	api.ResultBeaten:       fasthttp.StatusConflict,
@@ -309,9 +310,9 @@
 func (e *Entry) post(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case api.PathDocument:
-		published := e.fake.published(ctx.PostBody())
+		published := e.fake.publishFromClient(ctx.PostBody())
 		var lose bool
-		e.locked(func() { lose = e.loses })
+		e.locked(func() { lose = e.losesAnswers })
 		if lose {
 			ctx.HijackSetNoResponse(true)
 			ctx.Hijack(func(net.Conn) {})
@@ -346,7 +347,7 @@
 		version = e.frozenAt
 	}
 	return api.Status{
-		Entry:        api.Member{Name: e.Name, Incarnation: e.Incarnation, Zone: "a", CallerAddress: e.callers},
+		Entry:        api.Member{Name: e.Name, Incarnation: e.Incarnation, Zone: "a", CallerAddress: e.callerAddress},
 		State:        e.state,
 		Version:      version,
 		DocumentID:   e.fake.id,
--- a/internal/operators/publish.go
+++ b/internal/operators/publish.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// verdictTimeout bounds the wait for the record to come back from the log.
-	verdictTimeout = 10 * time.Second
-	verdictEvery   = 50 * time.Millisecond
+	// resultTimeout bounds the wait until the entry has read the record from the
+	// log.
+	resultTimeout      = 10 * time.Second
+	resultPollInterval = 50 * time.Millisecond
 )
 
-// publisher puts documents onto the log and finds out what became of them.
+// publisher appends documents to the log and determines the results.
 type publisher struct {
 	check     Checker
 	log       Log
@@ -23,8 +24,8 @@
 	timeout   time.Duration
 }
 
-// publish appends the document and waits for the verdict. An append whose answer
-// was lost may have taken effect, so it is settled by reading back as well.
+// publish appends the document and waits for the result. An append whose answer
+// was lost may have taken effect, so its result is read from the log, too.
 func (p *publisher) publish(ctx context.Context, data []byte) Published {
 	id, faults := p.check(data)
 	if len(faults) > 0 {
@@ -38,29 +39,29 @@
 	if errors.Is(err, logclient.ErrRefused) {
 		return Published{ID: id, Result: ResultNotPublished, Detail: "the log took nothing; publish again later"}
 	}
-	return p.await(ctx, id, offset, err)
+	return p.awaitResult(ctx, id, offset, err)
 }
 
-// await asks the core until it has judged the document.
-func (p *publisher) await(ctx context.Context, id string, offset int64, lost error) Published {
+// awaitResult polls the core until it has processed the document.
+func (p *publisher) awaitResult(ctx context.Context, id string, offset int64, lost error) Published {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	ticker := time.NewTicker(verdictEvery)
+	ticker := time.NewTicker(resultPollInterval)
 	defer ticker.Stop()
 	for {
-		verdict, err := p.inspector.Verdict(ctx, id)
-		if err == nil && verdict.Result != "" {
-			return verdict
+		result, err := p.inspector.Verdict(ctx, id)
+		if err == nil && result.Result != "" {
+			return result
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return undecided(id, offset, lost)
+			return unknownResult(id, offset, lost)
 		}
 	}
 }
 
-func undecided(id string, offset int64, lost error) Published {
+func unknownResult(id string, offset int64, lost error) Published {
 	detail := "the log's answer was lost; see GET /admin/v1/document later, or publish again with the same id"
 	if lost == nil {
 		detail = "the log took it, but it has not come back yet; see GET /admin/v1/document later"
--- a/internal/operators/server.go
+++ b/internal/operators/server.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// maxBody is the most that the log takes as one record.
+	// maxBody is the size limit of one record in the log, in bytes.
 	maxBody     = 1 << 20
 	readTimeout = 10 * time.Second
-	// inspectTimeout bounds a read of the core.
+	// inspectTimeout bounds one read of the core's state.
 	inspectTimeout = 2 * time.Second
 	maxConnections = 256
 	bearer         = "Bearer "
 )
 
-// Options says what the server needs.
+// Options configures a Server.
 type Options struct {
 	// TokenSHA256 is the hex SHA-256 of the operators' bearer token.
 	TokenSHA256 string
@@ -34,14 +34,15 @@
 	Controls    Controls
 	Check       Checker
 	Log         Log
-	// Metrics serves /metrics, which needs no token.
+	// Metrics serves /metrics, which requires no token.
 	Metrics fasthttp.RequestHandler
 	Logger  logrus.FieldLogger
-	// VerdictTimeout is the package's default where zero.
-	VerdictTimeout time.Duration
+	// ResultTimeout bounds the wait for a publication's result. Zero means the
+	// package's default.
+	ResultTimeout time.Duration
 }
 
-// Server is the operators' interface of one entry.
+// Server serves the operators' interface of one entry.
 type Server struct {
 	options   Options
 	tokenHash []byte
@@ -49,19 +50,19 @@
 	server    *fasthttp.Server
 }
 
-// New makes the server; it fails where the hash is not one.
+// New returns a Server. It returns an error if TokenSHA256 is not a hex SHA-256.
 func New(options Options) (*Server, error) {
 	hash, err := hex.DecodeString(options.TokenSHA256)
 	if err != nil || len(hash) != sha256.Size {
 		return nil, fmt.Errorf("operator token: not a hex SHA-256")
 	}
-	if options.VerdictTimeout == 0 {
-		options.VerdictTimeout = verdictTimeout
+	if options.ResultTimeout == 0 {
+		options.ResultTimeout = resultTimeout
 	}
 	s := &Server{
 		options:   options,
 		tokenHash: hash,
-		publisher: publisher{options.Check, options.Log, options.Inspector, options.VerdictTimeout},
+		publisher: publisher{options.Check, options.Log, options.Inspector, options.ResultTimeout},
 	}
 	s.server = &fasthttp.Server{
 		Name:               "sycamoretrail",
@@ -75,7 +76,7 @@
 	return s, nil
 }
 
-// Serve answers until Close.
+// Serve serves the listener until Close is called.
 func (s *Server) Serve(listener net.Listener) error {
 	if err := s.server.Serve(listener); err != nil {
 		return fmt.Errorf("%w: %w", ErrListen, err)
@@ -83,28 +84,28 @@
 	return nil
 }
 
-// Close ends the server after the calls under way.
+// Close shuts the server down after the calls in progress.
 func (s *Server) Close() error { return s.server.Shutdown() }
 
 func (s *Server) routes() *router.Router {
 	r := router.New()
-	r.GET(PathStatus, s.guard(read(s.options.Inspector.Status)))
-	r.GET(PathTargets, s.guard(read(s.options.Inspector.Targets)))
-	r.GET(PathFloors, s.guard(read(s.options.Inspector.Floors)))
-	r.GET(PathDocument, s.guard(read(s.options.Inspector.Document)))
-	r.GET(PathExplain, s.guard(s.explain))
-	r.POST(PathDocument, s.guard(s.publish))
-	r.POST(PathDrain, s.guard(s.drain))
-	r.POST(PathLogLevel, s.guard(s.logLevel))
+	r.GET(PathStatus, s.requireToken(read(s.options.Inspector.Status)))
+	r.GET(PathTargets, s.requireToken(read(s.options.Inspector.Targets)))
+	r.GET(PathFloors, s.requireToken(read(s.options.Inspector.Floors)))
+	r.GET(PathDocument, s.requireToken(read(s.options.Inspector.Document)))
+	r.GET(PathExplain, s.requireToken(s.explain))
+	r.POST(PathDocument, s.requireToken(s.publish))
+	r.POST(PathDrain, s.requireToken(s.drain))
+	r.POST(PathLogLevel, s.requireToken(s.logLevel))
 	if s.options.Metrics != nil {
 		r.GET("/metrics", s.options.Metrics)
 	}
 	return r
 }
 
-// guard lets through who shows the token. Hashes are compared in constant time,
-// so that answers' timing tells nothing about the token.
-func (s *Server) guard(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// requireToken calls next only if the request has the operator token. Hashes are
+// compared in constant time, so that response times reveal nothing about the token.
+func (s *Server) requireToken(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		token, found := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), bearer)
 		hash := sha256.Sum256([]byte(token))
@@ -117,7 +118,7 @@
 	}
 }
 
-// read serves one read of the core.
+// read returns a handler that serves one read of the core's state.
 func read[T any](inspect func(context.Context) (T, error)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		limited, cancel := context.WithTimeout(context.Background(), inspectTimeout)
@@ -142,8 +143,8 @@
 	})(ctx)
 }
 
-// publishStatus maps a result to an HTTP status; an unknown one is not an error
-// of the call, so that scripts look at the result.
+// publishStatus maps a result to an HTTP status. ResultUnknown is not an error
+// status, so that scripts evaluate the result.
 var publishStatus = map[Result]int{
 	ResultAccepted:     fasthttp.StatusOK,
 	ResultBeaten:       fasthttp.StatusConflict,
@@ -153,7 +154,7 @@
 }
 
 func (s *Server) publish(ctx *fasthttp.RequestCtx) {
-	// fasthttp uses the body's memory again after this call.
+	// fasthttp reuses the body's memory after this call.
 	data := append([]byte(nil), ctx.PostBody()...)
 	published := s.publisher.publish(context.Background(), data)
 	s.options.Logger.WithFields(logrus.Fields{
