--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -71,7 +71,7 @@
 
 func entriesOf(statuses []operatorclient.EntryStatus, version int64) entriesData {
 	data := entriesData{Version: version, Listed: len(statuses)}
-	data.InForce, data.Answered = operatorclient.InForce(statuses, version)
+	data.InForce, data.Answered = operatorclient.CountInForce(statuses, version)
 	for _, one := range statuses {
 		row := entryRow{Address: one.Address}
 		if one.Err != nil {
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -1,6 +1,6 @@
-// Package operatorclient speaks the operators' interface of entries over HTTP.
-// sycamorectl and the console share it. A read goes to the listed entries in
-// order until one answers; the texts of its errors say the remedy.
+// Package operatorclient is the HTTP client of the operators' interface of
+// entries, for sycamorectl and the console. A read tries the listed entries in
+// order until one answers. Error messages include the remedy.
 package operatorclient
 
 import (
@@ -16,29 +16,29 @@
 )
 
 const (
-	// DefaultTimeout bounds one call at one entry. It is longer than an entry
-	// waits for the verdict on a publication.
+	// DefaultTimeout bounds one call to one entry. It is longer than an entry
+	// waits for the result of a publication.
 	DefaultTimeout = 15 * time.Second
-	// dialTimeout is short: an entry whose instance is gone must not hold up the
-	// next in the list.
+	// dialTimeout is short, so that an entry whose instance is unreachable does not
+	// delay the call to the next in the list.
 	dialTimeout = 2 * time.Second
-	// maxAnswer bounds what is read of one answer. A document is at most 1 MiB.
+	// maxAnswer bounds the body of one answer, in bytes. A document is at most 1 MiB.
 	maxAnswer = 16 << 20
 	bearer    = "Bearer "
 	jsonType  = "application/json"
 )
 
-// Options says whom to ask and how.
+// Options configures a Client.
 type Options struct {
 	// Entries are operators' addresses (IP:port), tried in this order.
 	Entries []string
 	// Token is the operators' bearer token.
 	Token string
-	// Timeout bounds one call at one entry; DefaultTimeout where zero.
+	// Timeout bounds one call to one entry; zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// Client calls entries. It may be used from several goroutines.
+// Client calls entries. It is safe for concurrent use.
 type Client struct {
 	entries []string
 	token   string
@@ -46,7 +46,7 @@
 	http    *fasthttp.Client
 }
 
-// New makes a client.
+// New returns a client.
 func New(options Options) *Client {
 	if options.Timeout == 0 {
 		options.Timeout = DefaultTimeout
@@ -68,66 +68,66 @@
 		ReadTimeout:         timeout,
 		WriteTimeout:        timeout,
 		MaxResponseBodySize: maxAnswer,
-		// The client itself decides what is asked again, and of whom.
+		// The Client itself decides which calls are retried, and at which entry.
 		MaxIdemponentCallAttempts: 1,
 	}
 }
 
-// WithToken returns a client of the same entries that shows another token. Both
-// share their connections.
+// WithToken returns a client of the same entries that uses another token. Both
+// clients share their connections.
 func (c *Client) WithToken(token string) *Client {
 	other := *c
 	other.token = token
 	return &other
 }
 
-// At returns a client of one entry only.
+// At returns a client that calls only the entry at the address.
 func (c *Client) At(address string) *Client {
 	other := *c
 	other.entries = []string{address}
 	return &other
 }
 
-// Entries lists the addresses in the order in which they are tried.
+// Entries returns the addresses in the order in which they are tried.
 func (c *Client) Entries() []string { return c.entries }
 
 // Status reads the state of the first entry that answers.
 func (c *Client) Status() (api.Status, error) { return get[api.Status](c, api.PathStatus) }
 
-// Targets reads the targets as the first entry that answers sees them.
+// Targets reads the targets from the first entry that answers.
 func (c *Client) Targets() (api.Targets, error) { return get[api.Targets](c, api.PathTargets) }
 
-// Floors reads the floors that stand at the first entry that answers.
+// Floors reads the tier floors in force from the first entry that answers.
 func (c *Client) Floors() (api.Floors, error) { return get[api.Floors](c, api.PathFloors) }
 
-// Document reads what is in force at the first entry that answers.
+// Document reads the document in force from the first entry that answers.
 func (c *Client) Document() (api.Document, error) { return get[api.Document](c, api.PathDocument) }
 
-// Explain asks the first entry that answers what it remembers of a request.
+// Explain reads the record of a request from the first entry that answers.
 func (c *Client) Explain(id string) (api.Explanation, error) {
 	return get[api.Explanation](c, api.PathExplain+"?id="+url.QueryEscape(id))
 }
 
 // Drain begins a planned stop of the entry at the address.
 func (c *Client) Drain(address string) (api.Drain, error) {
-	return one[api.Drain](c, address, fasthttp.MethodPost, api.PathDrain, nil)
+	return callEntry[api.Drain](c, address, fasthttp.MethodPost, api.PathDrain, nil)
 }
 
-// SetLogLevel changes the level of the logs of the entry at the address.
+// SetLogLevel changes the log level of the entry at the address.
 func (c *Client) SetLogLevel(address, level string) (api.LogLevel, error) {
 	body, err := json.Marshal(api.LogLevel{Level: level})
 	if err != nil {
 		return api.LogLevel{}, err
 	}
-	return one[api.LogLevel](c, address, fasthttp.MethodPost, api.PathLogLevel, body)
+	return callEntry[api.LogLevel](c, address, fasthttp.MethodPost, api.PathLogLevel, body)
 }
 
-// get reads from the first entry that answers. An entry that says no for a
-// reason of its own, such as a wrong token, ends the search.
+// get reads from the first entry that answers. An error that other entries would
+// return too, such as for a wrong token, ends the search.
 func get[T any](c *Client, path string) (T, error) {
 	unreachable := &UnreachableError{}
 	for _, address := range c.entries {
-		answer, err := one[T](c, address, fasthttp.MethodGet, path, nil)
+		answer, err := callEntry[T](c, address, fasthttp.MethodGet, path, nil)
 		if err == nil || !tryNext(err) {
 			return answer, err
 		}
@@ -137,7 +137,7 @@
 	return none, unreachable
 }
 
-// tryNext: another entry may answer where this one could not.
+// tryNext reports whether another entry may answer after this error.
 func tryNext(err error) bool {
 	var status *StatusError
 	if errors.As(err, &status) {
@@ -146,8 +146,8 @@
 	return errors.Is(err, ErrNoAnswer)
 }
 
-// one calls one entry and decodes its answer.
-func one[T any](c *Client, address, method, path string, body []byte) (T, error) {
+// callEntry calls callEntry entry and decodes its answer.
+func callEntry[T any](c *Client, address, method, path string, body []byte) (T, error) {
 	var answer T
 	status, data, err := c.call(address, method, path, body)
 	if err != nil {
--- a/internal/operatorclient/errors.go
+++ b/internal/operatorclient/errors.go
@@ -13,22 +13,22 @@
 )
 
 var (
-	// ErrNoAnswer is wrapped by errors of calls that brought no answer.
+	// ErrNoAnswer is wrapped by errors of calls that received no answer.
 	ErrNoAnswer = errors.New("no answer")
-	// ErrNotSent is wrapped, beside ErrNoAnswer, where the connection could not
-	// be made, so that the call had no effect.
+	// ErrNotSent is wrapped in addition to ErrNoAnswer if the connection could not
+	// be opened, so that the call had no effect.
 	ErrNotSent = errors.New("not sent")
-	// ErrToken is wrapped where an entry refuses the operator token.
+	// ErrToken is wrapped if an entry rejects the operator token.
 	ErrToken = errors.New("the operator token is missing or wrong; use the token whose SHA-256 stands in the entry's operator_token_sha256")
 )
 
-// UnreachableError says that none of the listed entries answered.
+// UnreachableError reports that none of the listed entries answered.
 type UnreachableError struct {
-	// Attempts lists each entry and what went wrong there.
+	// Attempts lists the failed call to each entry.
 	Attempts []Attempt
 }
 
-// Attempt is a call that brought no answer.
+// Attempt is a failed call to one entry.
 type Attempt struct {
 	Address string
 	Err     error
@@ -38,7 +38,7 @@
 	e.Attempts = append(e.Attempts, Attempt{Address: address, Err: err})
 }
 
-// Error lists the attempts and the remedy.
+// Error returns the attempts and the remedy.
 func (e *UnreachableError) Error() string {
 	reasons := make([]string, len(e.Attempts))
 	for i, attempt := range e.Attempts {
@@ -50,10 +50,10 @@
 // Unwrap lets errors.Is find ErrNoAnswer.
 func (e *UnreachableError) Unwrap() error { return ErrNoAnswer }
 
-// StatusError is an answer that says no.
+// StatusError is an answer with an HTTP error status.
 type StatusError struct {
 	Address string
-	// Status is the HTTP status code, Message the entry's own words.
+	// Status is the HTTP status code, Message the entry's error message.
 	Status  int
 	Message string
 }
@@ -88,8 +88,8 @@
 // Unwrap returns the decoder's error.
 func (e *AnswerError) Unwrap() error { return e.Err }
 
-// CallError wraps the error of an HTTP call: it tells a call that had no effect
-// (ErrNotSent) from one that may have had.
+// CallError wraps the error of an HTTP call. The result wraps ErrNotSent if the
+// call had no effect; otherwise it may have had one.
 func CallError(address string, err error) error {
 	var op *net.OpError
 	if errors.Is(err, fasthttp.ErrDialTimeout) || (errors.As(err, &op) && op.Op == "dial") {
--- a/internal/operatorclient/statuses.go
+++ b/internal/operatorclient/statuses.go
@@ -7,41 +7,42 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// maxAsked bounds how many entries are asked at a time.
-const maxAsked = 32
+// maxConcurrent bounds the number of concurrent calls.
+const maxConcurrent = 32
 
-// EntryStatus is what one listed entry says of itself.
+// EntryStatus is the status of one listed entry.
 type EntryStatus struct {
 	Address string
 	Status  api.Status
-	// Err is set where the entry gave no status.
+	// Err is set if the entry returned no status.
 	Err error
 }
 
-// Statuses asks every listed entry, at most maxAsked at a time, and returns
-// their answers in the order of the list.
+// Statuses reads the status of every listed entry, at most maxConcurrent at a
+// time, and returns them in the order of the list.
 func (c *Client) Statuses() []EntryStatus {
 	out := make([]EntryStatus, len(c.entries))
-	pool := pond.NewPool(maxAsked)
+	pool := pond.NewPool(maxConcurrent)
 	defer pool.StopAndWait()
 	for i, address := range c.entries {
 		pool.Submit(func() {
-			status, err := one[api.Status](c, address, fasthttp.MethodGet, api.PathStatus, nil)
+			status, err := callEntry[api.Status](c, address, fasthttp.MethodGet, api.PathStatus, nil)
 			out[i] = EntryStatus{Address: address, Status: status, Err: err}
 		})
 	}
 	return out
 }
 
-// InForce counts the entries that answered, and among them those whose version
-// is at least the given one: versions only rise, so a later one followed it.
-func InForce(statuses []EntryStatus, version int64) (inForce, answered int) {
-	for _, one := range statuses {
-		if one.Err != nil {
+// CountInForce returns the number of entries that answered and, among them, of
+// those whose version is at least the given one. Versions only increase, so an
+// entry with a later version has applied the given one, too.
+func CountInForce(statuses []EntryStatus, version int64) (inForce, answered int) {
+	for _, entry := range statuses {
+		if entry.Err != nil {
 			continue
 		}
 		answered++
-		if one.Status.Version >= version {
+		if entry.Status.Version >= version {
 			inForce++
 		}
 	}
