--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -28,8 +28,8 @@
 		Use:   "publish FILE",
 		Short: "Check a document, publish it and report the result",
 		Long: `Publishes FILE (- for standard input). The document is accepted only if its base is the
-version in force; so of two operators who start from the same version one is beaten, and sees
-by whom and what differs.
+version in force. If two operators start from the same version, the second is beaten, and the
+command shows which document came first and the difference to it.
 
 Exit codes: 0 accepted, 1 faults (nothing was published), 2 beaten or not published,
 3 unknown: publish the same FILE again with the same id, which is harmless.`,
