--- a/cmd/sycamore-console/main.go
+++ b/cmd/sycamore-console/main.go
@@ -1,4 +1,4 @@
-// Command sycamore-console serves the operators' forms.
+// Command sycamore-console serves the operators' web console.
 package main
 
 import (
@@ -21,10 +21,10 @@
 var version = "dev"
 
 const about = `Serves the operators' pages: plain forms, without JavaScript, for the document that
-governs sycamoretrail. It keeps nothing; several may run at once.
+governs sycamoretrail. It is stateless; several may run at once.
 
-Log in with the operator token. It goes to the entries with each call, so reach the
-console over loopback, a tunnel or a proxy with TLS only.`
+Log in with the operator token. The console sends it to the entries with each call, so
+use the console only over loopback, a tunnel or a proxy with TLS.`
 
 func main() {
 	cli.Daemon[settings.Console]{
@@ -48,7 +48,7 @@
 	pages, err := console.New(console.Options{
 		Client:       operatorclient.New(operatorclient.Options{Entries: s.Entries}),
 		TokenSHA256:  s.OperatorTokenSHA256,
-		LogAvailable: console.AskLog(s.Log),
+		LogAvailable: console.LogChecker(s.Log),
 		Logger:       logger,
 	})
 	if err != nil {
@@ -58,14 +58,14 @@
 	if err != nil {
 		return fmt.Errorf("listen for browsers: %w", err)
 	}
-	logger.WithField("address", listener.Addr().String()).Info("console is up")
+	logger.WithField("address", listener.Addr().String()).Info("console started")
 	served := make(chan error, 1)
 	go func() { served <- pages.Serve(listener) }()
 	select {
 	case err := <-served:
 		return err
 	case <-ctx.Done():
-		logger.Info("console stops")
+		logger.Info("console stopping")
 		return pages.Close()
 	}
 }
--- a/internal/console/access_test.go
+++ b/internal/console/access_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("access", func() {
-	It("shows nothing to who is not logged in", func() {
+	It("shows only the login page without a session", func() {
 		s := newSite(operatorstest.Document(2))
 		for _, path := range []string{"/", "/published", "/edit"} {
 			b := s.browser()
@@ -38,9 +38,9 @@
 		Expect(s.logs.String()).NotTo(ContainSubstring("guess-of-a-stranger"))
 	})
 
-	// Another site makes the operator's browser post a form to the console. The
-	// cookie comes along where a browser does not know SameSite; the form's own
-	// token does not, so nothing is taken in and nothing published.
+	// Another site makes the operator's browser post a form to the console. Browsers
+	// without SameSite support send the cookie, but the form lacks the CSRF token, so
+	// nothing may be changed or published.
 	It("refuses a form without the session's token", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("refuses a form that another site's page sent", func() {
+	It("refuses a form from another site's page", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		for origin, status := range map[string]int{"http://evil.example": 403, "null": 403, s.url: 200} {
@@ -62,12 +62,12 @@
 			Expect(err).NotTo(HaveOccurred())
 			req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 			req.Header.Set("Origin", origin)
-			b.take(b.http.Do(req))
+			b.setPage(b.http.Do(req))
 			Expect(b.status).To(Equal(status), origin)
 		}
 	})
 
-	It("refuses a draft that it did not give out", func() {
+	It("refuses a draft with an invalid signature", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.post("/edit", "go", "limits")
@@ -77,7 +77,7 @@
 		Expect(b.text()).To(ContainSubstring("not one that this console gave out"))
 	})
 
-	It("keeps the token out of the cookie's text, and ends the session on request", func() {
+	It("encrypts the token in the cookie, and ends the session on logout", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.browser()
 		b.get("/login")
@@ -93,7 +93,7 @@
 		Expect(b.body).To(ContainSubstring("Operator token"))
 	})
 
-	It("sends the headers that keep a page from being framed, cached or scripted", func() {
+	It("sends headers against framing, caching and scripts", func() {
 		b := newSite(operatorstest.Document(1)).loggedIn()
 		for _, path := range []string{"/", "/login", "/style.css", "/nowhere"} {
 			b.get(path)
@@ -105,9 +105,9 @@
 		}
 	})
 
-	// A name with markup reaches a page: typed into a form by an operator, or in
-	// the comment of a document that another published. It must show as text.
-	It("shows hostile names as text", func() {
+	// Markup can reach a page in a form field or in the comment of another operator's
+	// document. It must be escaped.
+	It("escapes markup in names and comments", func() {
 		hostile := `"><script>alert(1)</script>`
 		first := operatorstest.Document(1)
 		first.Comment = hostile
--- a/internal/console/apply.go
+++ b/internal/console/apply.go
@@ -12,18 +12,18 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// errPath: a change names something that the document's types do not have.
+// errPath reports that a change's path does not exist in the document's types.
 var errPath = errors.New("change does not fit the document")
 
-// conflict is a change whose former value is not what the document holds.
+// conflict is a change whose previous value differs from the document's.
 type conflict struct {
-	// Path is that of the change. Theirs is the value in the document, Yours the
-	// one that the change sets; empty: removed or not there.
+	// Path is the path of the change. Theirs is the value in the document, Yours
+	// the value that the change sets; empty means removed or absent.
 	Path, Theirs, Yours string
 }
 
-// apply makes changes, as document.Diff lists them, in a copy of the document. A
-// change that meets another former value than its own is made all the same and
+// apply applies changes, as document.Diff lists them, to a copy of the document.
+// A change whose previous value differs from the document's is still applied and
 // reported as a conflict.
 func apply(d *document.Document, changes []document.Change) (*document.Document, []conflict, error) {
 	out := clone(d)
@@ -40,8 +40,8 @@
 	return out, conflicts, nil
 }
 
-// clone copies a document as deep as apply and the forms write: they replace
-// lists inside records whole.
+// clone copies a document as deeply as apply and the forms modify it: they
+// replace lists inside records instead of changing their items.
 func clone(d *document.Document) *document.Document {
 	out := *d
 	out.Tiers = slices.Clone(d.Tiers)
@@ -54,7 +54,7 @@
 	return &out
 }
 
-// applyOne makes one change and returns the value that it replaced, as JSON.
+// applyOne applies one change and returns the value that it replaced, as JSON.
 func applyOne(root reflect.Value, change document.Change) (string, error) {
 	section, rest, member := strings.Cut(change.Path, "[")
 	if !member {
@@ -82,8 +82,9 @@
 	return "", errPath
 }
 
-// applyMember changes, adds or removes a record of a list. A field of a record
-// that is gone is not brought back; the empty former value shows as a conflict.
+// applyMember changes, adds or removes a record of a list. A change to a field of
+// a removed record does not restore the record; its empty previous value is
+// reported as a conflict.
 func applyMember(list reflect.Value, name, fieldName string, change document.Change) (string, error) {
 	if list.Kind() != reflect.Slice || list.Type().Elem().Kind() != reflect.Struct {
 		return "", errPath
@@ -122,7 +123,7 @@
 	return before
 }
 
-// replace sets a value from JSON and returns the former one.
+// replace sets a value from JSON and returns the previous one as JSON.
 func replace(at reflect.Value, after string) (string, error) {
 	before := jsonText(at)
 	fresh := reflect.New(at.Type())
@@ -133,7 +134,7 @@
 	return before, nil
 }
 
-// jsonText is the JSON of a value, by the rules of document.Diff.
+// jsonText returns a value as JSON, encoded as in document.Diff.
 func jsonText(v reflect.Value) string {
 	data, err := json.Marshal(v.Interface(), json.Deterministic(true))
 	if err != nil {
@@ -156,7 +157,8 @@
 	return reflect.Value{}, false
 }
 
-// indexOf finds a record by its name, which is its first field.
+// indexOf returns the index of the record with the name, which is the first
+// field, or -1.
 func indexOf(list reflect.Value, name string) int {
 	for i := range list.Len() {
 		if list.Index(i).Field(0).String() == name {
@@ -166,8 +168,8 @@
 	return -1
 }
 
-// orderTiers puts tiers into the given order; tiers that it does not name stay
-// behind those that it does.
+// orderTiers sorts the tiers into the given order. Tiers that order does not
+// contain follow the others.
 func orderTiers(d *document.Document, order []string) {
 	if len(order) == 0 {
 		return
--- a/internal/console/bench_test.go
+++ b/internal/console/bench_test.go
@@ -7,7 +7,7 @@
 	"sycamoretrail/internal/operators/operatorstest"
 )
 
-// BenchmarkPage is what one page of a draft costs the console at 38,000
+// BenchmarkPage measures the cost of one page of a draft with 38,000
 // organisations, without the transfer from the entry.
 func BenchmarkPage(b *testing.B) {
 	data := operatorstest.Bytes(operatorstest.Document(38_000))
@@ -21,7 +21,7 @@
 			b.Fatal(err)
 		}
 		x := change{draft: d, base: current{doc: doc, version: 1}}
-		if err := x.settle(); err != nil {
+		if err := x.rebuild(); err != nil {
 			b.Fatal(err)
 		}
 		f := buildForm(x.doc, view{section: s, query: "31415"})
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,7 @@
 // Package console serves the operators' pages: plain HTML forms for the whole
-// document, which work without JavaScript. It keeps nothing: who is logged in is
-// in an encrypted cookie, and what was changed and not published travels in a
-// signed field of the forms. All that it knows it reads from the entries.
+// document, which work without JavaScript. It is stateless: sessions are held in
+// an encrypted cookie, and unpublished changes in a signed field of the forms.
+// All other data is read from the entries.
 package console
 
 import (
@@ -28,23 +28,25 @@
 	sessionTime    = 8 * time.Hour
 )
 
-// ErrListen is wrapped by errors of the listener.
+// ErrListen is wrapped by errors of serving the listener.
 var ErrListen = errors.New("console's listener failed")
 
-// Options says what the console needs.
+// Options configures a Console.
 type Options struct {
-	// Client asks the entries; its token is replaced by each operator's own.
+	// Client calls the entries, with the token of the logged-in operator in place
+	// of its own.
 	Client *operatorclient.Client
-	// TokenSHA256 is the hex SHA-256 of the token that logs in.
+	// TokenSHA256 is the hex SHA-256 of the operator token.
 	TokenSHA256 string
-	// LogAvailable asks the log itself whether it answers; nil: not asked.
+	// LogAvailable reports whether the log answers. If it is nil, the pages do not
+	// show this.
 	LogAvailable func() bool
 	Logger       logrus.FieldLogger
-	// Now is time.Now where nil.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Console is the server of the pages.
+// Console serves the pages.
 type Console struct {
 	options   Options
 	tokenHash []byte
@@ -53,7 +55,7 @@
 	server    *fasthttp.Server
 }
 
-// New makes a console and draws its keys.
+// New returns a Console with newly generated keys.
 func New(options Options) (*Console, error) {
 	hash, err := hex.DecodeString(options.TokenSHA256)
 	if err != nil || len(hash) != sha256.Size {
@@ -81,7 +83,7 @@
 	return c, nil
 }
 
-// Serve answers until Close.
+// Serve serves the listener until Close is called.
 func (c *Console) Serve(listener net.Listener) error {
 	if err := c.server.Serve(listener); err != nil {
 		return fmt.Errorf("%w: %w", ErrListen, err)
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// Close ends the server after the calls under way.
+// Close shuts the server down after the requests in progress.
 func (c *Console) Close() error { return c.server.Shutdown() }
 
 // Paths of the pages.
@@ -112,24 +114,24 @@
 	r.GET(pathLogin, c.loginPage)
 	r.POST(pathLogin, c.login)
 	r.POST(pathLogout, c.logout)
-	r.GET(pathOverview, c.member(c.overview))
-	r.GET(pathPublished, c.member(c.published))
-	r.POST(pathEdit, c.member(c.edit))
-	r.POST(pathPublish, c.member(c.publish))
-	r.POST(pathOutcome, c.member(c.lookAgain))
-	// A page that is reached by a form only, such as after a reload of its address.
+	r.GET(pathOverview, c.requireSession(c.overview))
+	r.GET(pathPublished, c.requireSession(c.published))
+	r.POST(pathEdit, c.requireSession(c.edit))
+	r.POST(pathPublish, c.requireSession(c.publish))
+	r.POST(pathOutcome, c.requireSession(c.recheck))
+	// Pages that only forms reach are redirected, for example after a reload.
 	for _, path := range []string{pathEdit, pathPublish, pathOutcome, pathLogout} {
 		r.GET(path, func(ctx *fasthttp.RequestCtx) { redirect(ctx, pathOverview) })
 	}
 	return r
 }
 
-// contentPolicy allows the one stylesheet and forms to this console. Without
-// any script source, markup that slipped into a page could still not act.
+// contentPolicy allows the stylesheet and forms to this console. It allows no
+// script source, so that markup injected into a page could not run scripts.
 const contentPolicy = "default-src 'none'; style-src 'self'; form-action 'self'; base-uri 'none'; frame-ancestors 'none'"
 
-// secure sets the headers of every answer. Pages show tokens' hashes and
-// settings, so no cache may keep them.
+// secure sets the security headers of every response. Pages show token hashes
+// and settings, so caches must not store them.
 func secure(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		next(ctx)
@@ -138,7 +140,7 @@
 		h.Set(fasthttp.HeaderXFrameOptions, "DENY")
 		h.Set(fasthttp.HeaderXContentTypeOptions, "nosniff")
 		h.Set(fasthttp.HeaderCacheControl, "no-store")
-		// Not no-referrer: the browser would then send "Origin: null" with forms.
+		// With no-referrer, browsers would send "Origin: null" with forms.
 		h.Set(fasthttp.HeaderReferrerPolicy, "same-origin")
 		h.Set("Cross-Origin-Opener-Policy", "same-origin")
 	}
--- a/internal/console/console_suite_test.go
+++ b/internal/console/console_suite_test.go
@@ -25,11 +25,11 @@
 	RunSpecs(t, "console")
 }
 
-// site is a console before fake entries.
+// site is a console with fake entries.
 type site struct {
 	fake *operatorstest.Fake
 	url  string
-	// logs is what the console wrote.
+	// logs collects the console's log.
 	logs *strings.Builder
 }
 
@@ -54,11 +54,11 @@
 	return s
 }
 
-// browser keeps cookies and the hidden fields of the page that it shows.
+// browser is an HTTP client that keeps cookies and the last page.
 type browser struct {
 	site *site
 	http *http.Client
-	// status, header and body are those of the last page.
+	// status, header and body are from the response with the last page.
 	status int
 	header http.Header
 	body   string
@@ -70,7 +70,7 @@
 	return &browser{site: s, http: &http.Client{Jar: jar}}
 }
 
-// loggedIn returns a browser of an operator.
+// loggedIn returns a browser with an operator's session.
 func (s *site) loggedIn() *browser {
 	b := s.browser()
 	b.get("/login")
@@ -79,19 +79,19 @@
 	return b
 }
 
-func (b *browser) get(path string) { b.take(b.http.Get(b.site.url + path)) }
+func (b *browser) get(path string) { b.setPage(b.http.Get(b.site.url + path)) }
 
-// post sends a form with the hidden fields and controls of the page shown,
-// as a browser does, and the given names and values.
+// post sends a form with the hidden fields and controls of the last page, as a
+// browser does, overridden by the given pairs of names and values.
 func (b *browser) post(path string, pairs ...string) {
 	form := b.fields()
 	for i := 0; i < len(pairs); i += 2 {
 		form.Set(pairs[i], pairs[i+1])
 	}
-	b.take(b.http.PostForm(b.site.url+path, form))
+	b.setPage(b.http.PostForm(b.site.url+path, form))
 }
 
-func (b *browser) take(resp *http.Response, err error) {
+func (b *browser) setPage(resp *http.Response, err error) {
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
@@ -136,7 +136,7 @@
 	tags  = regexp.MustCompile(`<[^>]*>`)
 )
 
-// text is the page without markup, for what a reader sees.
+// text returns the visible text of the page, without markup.
 func (b *browser) text() string {
 	plain := tags.ReplaceAllString(cells.ReplaceAllString(b.body, " "), "")
 	return unescape(strings.Join(strings.Fields(plain), " "))
--- a/internal/console/draft.go
+++ b/internal/console/draft.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// maxDraft bounds the text of a draft in a form, in bytes; maxDraftData its
-	// content, so that a small text cannot unfold without bound.
+	// maxDraft bounds the encoded draft in a form, in bytes. maxDraftData bounds the
+	// decompressed content, so that a small text cannot expand without limit.
 	maxDraft     = 512 << 10
 	maxDraftData = 4 << 20
-	// idBytes of a hash are enough that two publications never share an id.
+	// idBytes is the length of the part of a hash that is used in an id, long enough
+	// to prevent collisions between publications.
 	idBytes = 16
 )
 
@@ -30,53 +31,53 @@
 	errDraftTooBig = errors.New("the draft holds more changes than a form can carry; publish what was kept so far, then go on")
 )
 
-// orderOfTiers is the path under which the order of tiers is shown.
-const orderOfTiers = "tiers (order, the most important first)"
+// tierOrderPath is the path under which a change of the tiers' order is shown.
+const tierOrderPath = "tiers (order, the most important first)"
 
-// draft is what an operator has changed and not published. The console keeps
-// nothing: the draft travels in a hidden field, signed, from page to page. It
-// holds the difference to the document in force and not the document, so it
-// stays small at any number of organisations, and can be put onto another
-// operator's document that came first.
+// draft holds an operator's unpublished changes. The console is stateless: the
+// draft is passed from page to page in a signed hidden field. It holds the
+// difference to the document in force instead of a document, so it stays small
+// with any number of organisations and can be rebased onto the document of
+// another operator that was accepted first.
 type draft struct {
-	// Seed is drawn when the draft begins and keeps ids of drafts apart.
+	// Seed is a random text that makes the ids of drafts with equal changes differ.
 	Seed string `json:"seed"`
 	// Base is the version that the changes apply to.
 	Base    int64             `json:"base"`
 	Comment string            `json:"comment,omitempty"`
 	Changes []document.Change `json:"changes,omitempty"`
-	// TierOrder lists all tiers where their order differs from the base's; the
-	// place of an added tier is not in Changes.
+	// TierOrder lists all tiers if their order differs from the base's; Changes does
+	// not contain the position of an added tier.
 	TierOrder []string `json:"tier_order,omitempty"`
-	// TiersWere is the base's order, set beside TierOrder.
-	TiersWere []string `json:"tiers_were,omitempty"`
+	// BaseTierOrder is the base's order; it is set together with TierOrder.
+	BaseTierOrder []string `json:"tiers_were,omitempty"`
 }
 
 func newDraft(base int64) draft {
 	return draft{Seed: rand.Text(), Base: base}
 }
 
-// id is that of the publication. It follows from the content: the same draft
-// published twice, after a lost answer or a reload, is one publication, and a
-// draft that was edited in between is another. With one id for both, the entries
-// would ignore the edited one and report the acceptance of the first.
+// id returns the id of the publication, which is a hash of the draft. So the same
+// draft published twice, after a lost answer or a reload, is one publication, and
+// an edited draft is another one. If both had the same id, entries would ignore
+// the edited draft and report the acceptance of the first.
 func (d draft) id() string {
 	data, err := json.Marshal(d)
 	if err != nil {
-		return d.Seed // strings and numbers always have a JSON
+		return d.Seed // unreachable: strings and numbers always encode
 	}
 	sum := sha256.Sum256(data)
 	return "console-" + hex.EncodeToString(sum[:idBytes])
 }
 
-// document is the base with the draft's changes.
+// document returns the base with the draft's changes applied.
 func (d draft) document(base *document.Document) (*document.Document, []conflict, error) {
 	out, conflicts, err := apply(base, d.Changes)
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(d.TierOrder) > 0 && !slices.Equal(d.TiersWere, tierNames(base)) {
-		conflicts = append(conflicts, conflict{Path: orderOfTiers, Theirs: strings.Join(tierNames(base), ", "), Yours: strings.Join(d.TierOrder, ", ")})
+	if len(d.TierOrder) > 0 && !slices.Equal(d.BaseTierOrder, tierNames(base)) {
+		conflicts = append(conflicts, conflict{Path: tierOrderPath, Theirs: strings.Join(tierNames(base), ", "), Yours: strings.Join(d.TierOrder, ", ")})
 	}
 	orderTiers(out, d.TierOrder)
 	out.ID = d.id()
@@ -85,35 +86,36 @@
 	return out, conflicts, nil
 }
 
-// take makes the draft hold what makes the base into the edited document.
-func (d *draft) take(base, edited *document.Document) {
+// setChanges sets the draft's changes to the difference from base to edited.
+func (d *draft) setChanges(base, edited *document.Document) {
 	d.Changes = slices.DeleteFunc(document.Diff(base, edited), func(c document.Change) bool {
 		return c.Path == "id" || c.Path == "base" || c.Path == "comment" || strings.HasSuffix(c.Path, ".order")
 	})
-	d.TierOrder, d.TiersWere = nil, nil
+	d.TierOrder, d.BaseTierOrder = nil, nil
 	if names := tierNames(edited); !slices.Equal(names, tierNames(base)) {
-		d.TierOrder, d.TiersWere = names, tierNames(base)
+		d.TierOrder, d.BaseTierOrder = names, tierNames(base)
 	}
 }
 
-// shown lists the draft's changes for the operator, with the order of tiers.
-func shown(base, edited *document.Document) []document.Change {
+// listChanges returns the changes from base to edited as listChanges to the operator,
+// including a change of the tiers' order.
+func listChanges(base, edited *document.Document) []document.Change {
 	var d draft
-	d.take(base, edited)
+	d.setChanges(base, edited)
 	if d.TierOrder == nil {
 		return d.Changes
 	}
 	return append(d.Changes, document.Change{
-		Path:   orderOfTiers,
+		Path:   tierOrderPath,
 		Before: strings.Join(tierNames(base), ", "),
 		After:  strings.Join(tierNames(edited), ", "),
 	})
 }
 
-// empty: there is nothing to publish.
+// empty reports whether the draft has no changes.
 func (d draft) empty() bool { return len(d.Changes) == 0 && len(d.TierOrder) == 0 }
 
-// seal forms the text that travels in the forms.
+// seal returns the draft compressed and signed, for a form field.
 func (d draft) seal(k *keys) (string, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
@@ -137,7 +139,8 @@
 	return text, nil
 }
 
-// openDraft checks the signature before it looks at the content.
+// openDraft decodes a sealed draft. It verifies the signature before it decodes
+// the content.
 func openDraft(k *keys, text string) (draft, error) {
 	var d draft
 	if len(text) > maxDraft {
--- a/internal/console/draft_test.go
+++ b/internal/console/draft_test.go
@@ -11,10 +11,10 @@
 	"sycamoretrail/internal/operators/operatorstest"
 )
 
-// A draft holds differences. Put onto the document that it was made from it must
-// give back the edited one, whatever was edited; else publishing would change
-// what the operator did not see.
-func TestDraftGivesBackTheEditedDocument(t *testing.T) {
+// A draft holds differences. Applied to its base it must restore the edited
+// document for any edits; otherwise a publication would contain changes that the
+// operator has not seen.
+func TestDraftRestoresEditedDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := operatorstest.Document(4)
 		edited := clone(base)
@@ -23,7 +23,7 @@
 		}
 		d := newDraft(1)
 		d.Comment = edited.Comment
-		d.take(base, edited)
+		d.setChanges(base, edited)
 		again, conflicts, err := d.document(base)
 		if err != nil || len(conflicts) > 0 {
 			t.Fatalf("conflicts %v, error %v", conflicts, err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// A field added to the document without a label would be an unnamed control.
+// A field of the document without a label would be shown as an unnamed control.
 func TestEveryFieldHasALabel(t *testing.T) {
 	whole := reflect.TypeOf(document.Document{})
 	for i := range whole.NumField() {
@@ -97,7 +97,7 @@
 	edited := clone(base)
 	edited.Organisations = operatorstest.Document(30_000).Organisations
 	d := newDraft(1)
-	d.take(base, edited)
+	d.setChanges(base, edited)
 	if _, err := d.seal(k); err != errDraftTooBig {
 		t.Fatalf("a draft over the bound: %v", err)
 	}
--- a/internal/console/edit.go
+++ b/internal/console/edit.go
@@ -23,16 +23,16 @@
 	goSeparator  = "@"
 )
 
-// change is a draft with the document that it changes.
+// change is a draft together with its base.
 type change struct {
 	draft draft
 	base  current
-	// doc is the base with the draft's changes, faults what its check finds.
+	// doc is the base with the draft's changes, faults the result of its check.
 	doc    *document.Document
 	faults document.Faults
 }
 
-// open reads the draft of a form; a form without one begins a draft.
+// open reads the draft of a form, or begins a new draft if the form has none.
 func (c *Console) open(v *visit) (change, error) {
 	base, err := load(v.client)
 	if err != nil {
@@ -44,11 +44,11 @@
 			return change{}, err
 		}
 	}
-	return x, x.settle()
+	return x, x.rebuild()
 }
 
-// settle forms the document anew from the base and the draft.
-func (x *change) settle() error {
+// rebuild recomputes the document and its faults from the base and the draft.
+func (x *change) rebuild() error {
 	doc, _, err := x.draft.document(x.base.doc)
 	if err != nil {
 		return err
@@ -58,25 +58,25 @@
 	return nil
 }
 
-// overtaken: another document came in force since the draft began.
-func (x *change) overtaken() bool { return x.draft.Base != x.base.version }
+// outdated reports whether another document came into force since the draft began.
+func (x *change) outdated() bool { return x.draft.Base != x.base.version }
 
-// edit takes in a page of the draft and shows the page asked for.
+// edit applies a posted page to the draft and shows the requested page.
 func (c *Console) edit(v *visit) {
 	x, err := c.open(v)
 	if err != nil {
 		c.fail(v, err)
 		return
 	}
-	if x.overtaken() && v.get(fieldGo) == goRebase {
+	if x.outdated() && v.get(fieldGo) == goRebase {
 		c.rebase(v, x)
 		return
 	}
-	if x.overtaken() {
-		c.beaten(v, x, false, "")
+	if x.outdated() {
+		c.showDifference(v, x, false, "")
 		return
 	}
-	added, faults, err := x.take(v)
+	added, faults, err := x.applyForm(v)
 	if err != nil {
 		c.fail(v, err)
 		return
@@ -85,14 +85,15 @@
 		c.showFaulty(v, x, faults)
 		return
 	}
-	c.goOn(v, x, added)
+	c.showNext(v, x, added)
 }
 
-// take puts a posted page into the draft. With faults the draft stays as it was.
-func (x *change) take(v *visit) (added string, faults []formFault, err error) {
+// applyForm applies a posted page to the draft. If the form has faults, the draft
+// is unchanged.
+func (x *change) applyForm(v *visit) (added string, faults []formFault, err error) {
 	if v.get(fieldPage) == goReview {
 		x.draft.Comment = strings.TrimSpace(v.get(fieldComment))
-		return "", nil, x.settle()
+		return "", nil, x.rebuild()
 	}
 	from, found := sectionByID(v.get(fieldPage))
 	if !found {
@@ -103,12 +104,13 @@
 	if len(faults) > 0 {
 		return "", faults, nil
 	}
-	x.draft.take(x.base.doc, edited)
-	return added, nil, x.settle()
+	x.draft.setChanges(x.base.doc, edited)
+	return added, nil, x.rebuild()
 }
 
-// goOn shows the page that the pressed button names: "<page>" or "<page>@<n>".
-func (c *Console) goOn(v *visit, x change, added string) {
+// showNext shows the page named by the value of the pressed button, "<page>" or
+// "<page>@<number>".
+func (c *Console) showNext(v *visit, x change, added string) {
 	target, number, _ := strings.Cut(v.get(fieldGo), goSeparator)
 	if target == goReview {
 		c.review(v, x, fasthttp.StatusOK, "")
@@ -118,12 +120,12 @@
 	if !found {
 		s = sections[0]
 	}
-	shown := view{section: s}
-	shown.page, _ = strconv.Atoi(number)
+	next := view{section: s}
+	next.page, _ = strconv.Atoi(number)
 	if target == v.get(fieldPage) {
-		shown.query = cmp.Or(added, strings.TrimSpace(v.get(fieldQuery)))
+		next.query = cmp.Or(added, strings.TrimSpace(v.get(fieldQuery)))
 	}
-	c.showSection(v, x, shown, x.notice(v))
+	c.showSection(v, x, next, x.notice(v))
 }
 
 func (x *change) notice(v *visit) string {
@@ -136,19 +138,19 @@
 	return "Kept in the draft. Nothing is published yet."
 }
 
-// showSection shows a page with the check's faults beside the fields.
+// showSection shows the page of a section with the check's faults at the fields.
 func (c *Console) showSection(v *visit, x change, shown view, notice string) {
 	f := buildForm(x.doc, shown)
 	f.placeFaults(x.doc, x.faults)
 	c.showForm(v, x, f, fasthttp.StatusOK, page{Notice: notice})
 }
 
-// showFaulty shows a page again as it was filled in.
+// showFaulty shows the posted page again with the operator's input and its faults.
 func (c *Console) showFaulty(v *visit, x change, faults []formFault) {
 	s, _ := sectionByID(v.get(fieldPage))
 	number, _ := strconv.Atoi(v.get(fieldShownAt))
 	f := buildForm(x.doc, view{section: s, query: v.get(fieldShownQ), page: number})
-	f.showTyped(v, faults)
+	f.showInput(v, faults)
 	c.showForm(v, x, f, fasthttp.StatusUnprocessableEntity, page{
 		Problem: "Some fields could not be read, so nothing of this page is kept yet. Mend them below.",
 	})
@@ -160,7 +162,7 @@
 	c.showDraft(v, x, f.Section.ID, status, pageEdit, p)
 }
 
-// showDraft shows a page of the draft, with the draft in its form.
+// showDraft shows a page with the sealed draft in its form.
 func (c *Console) showDraft(v *visit, x change, here string, status int, name string, p page) {
 	sealed, err := x.draft.seal(c.keys)
 	if err != nil {
@@ -173,10 +175,10 @@
 }
 
 func (x *change) summary(here string) *changing {
-	out := &changing{Base: x.draft.Base, Changes: len(shown(x.base.doc, x.doc)), Faults: len(x.faults), Here: here}
+	out := &changing{Base: x.draft.Base, Changes: len(listChanges(x.base.doc, x.doc)), Faults: len(x.faults), Here: here}
 	counts := make(map[string]int)
 	for _, fault := range x.faults {
-		counts[placeOf(fault.Path).section]++
+		counts[locate(fault.Path).section]++
 	}
 	for _, s := range sections {
 		out.Parts = append(out.Parts, part{ID: s.ID, Title: s.Title, Faults: counts[s.ID], Current: s.ID == here})
@@ -184,12 +186,12 @@
 	return out
 }
 
-// reviewData is what the last page before publishing shows.
+// reviewData is the content of the review page, which precedes publishing.
 type reviewData struct {
 	Changes []document.Change
-	Faults  []said
+	Faults  []listedFault
 	Comment string
-	// Ready: there is something to publish and nothing wrong with it.
+	// Ready is true if there are changes and no faults.
 	Ready bool
 }
 
@@ -199,19 +201,19 @@
 	Changes       []document.Change
 }
 
-// Table heads the changes as they are before publishing.
+// Table returns the changes with headings for the review.
 func (d reviewData) Table() changesTable {
 	return changesTable{Before: "In force", After: "Draft", Changes: d.Changes}
 }
 
 func (c *Console) review(v *visit, x change, status int, problem string) {
 	data := reviewData{
-		Changes: shown(x.base.doc, x.doc),
+		Changes: listChanges(x.base.doc, x.doc),
 		Comment: x.draft.Comment,
 		Ready:   len(x.faults) == 0 && !x.draft.empty(),
 	}
 	for _, fault := range x.faults {
-		data.Faults = append(data.Faults, say(x.doc, fault))
+		data.Faults = append(data.Faults, describeFault(x.doc, fault))
 	}
 	c.showDraft(v, x, goReview, status, pageReview, page{Title: "Review and publish", Problem: problem, Body: data})
 }
--- a/internal/console/faults.go
+++ b/internal/console/faults.go
@@ -9,18 +9,18 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// place is where a fault belongs: the section, the record's number (-1: none)
-// and the field, by JSON name.
-type place struct {
+// location is the form field to which a fault belongs: the section, the record's
+// index (-1 if none) and the field, by JSON name.
+type location struct {
 	section string
 	record  int
 	field   string
 }
 
-// placeOf reads the path of a fault, such as organisations[3].tiers[1].
-func placeOf(path string) place {
+// locate parses the path of a fault, such as organisations[3].tiers[1].
+func locate(path string) location {
 	head, rest, dotted := strings.Cut(path, ".")
-	p := place{section: head, record: -1}
+	p := location{section: head, record: -1}
 	if name, number, found := strings.Cut(head, "["); found {
 		p.section = name
 		if n, err := strconv.Atoi(strings.TrimSuffix(number, "]")); err == nil {
@@ -33,9 +33,10 @@
 	return p
 }
 
-// words is a fault without its path, as it stands beside its field.
-func words(f document.Fault) string {
-	at := placeOf(f.Path)
+// faultText returns the text of a fault without its path, for display at its
+// field.
+func faultText(f document.Fault) string {
+	at := locate(f.Path)
 	item := ""
 	if i := strings.LastIndex(f.Path, "["); at.field != "" && i > strings.Index(f.Path, ".") {
 		if n, err := strconv.Atoi(strings.TrimSuffix(f.Path[i+1:], "]")); err == nil {
@@ -45,20 +46,20 @@
 	return item + f.Problem + "; " + f.Remedy
 }
 
-// said is a fault with its place in words, for lists of faults.
-type said struct {
-	// Section is the page to mend it on, Query finds its record there.
+// listedFault is a fault with a description of its location, for lists of faults.
+type listedFault struct {
+	// Section is the page on which to fix the fault; Query finds its record there.
 	Section, Query string
 	Where, Text    string
 }
 
-func say(d *document.Document, f document.Fault) said {
-	at := placeOf(f.Path)
+func describeFault(d *document.Document, f document.Fault) listedFault {
+	at := locate(f.Path)
 	s, known := sectionByID(at.section)
 	if !known {
-		return said{Where: f.Path, Text: words(f)}
+		return listedFault{Where: f.Path, Text: faultText(f)}
 	}
-	out := said{Section: s.ID, Where: s.Title, Text: words(f)}
+	out := listedFault{Section: s.ID, Where: s.Title, Text: faultText(f)}
 	if name := recordName(d, at); name != "" {
 		out.Query = name
 		out.Where += ", " + name
@@ -69,7 +70,7 @@
 	return out
 }
 
-func recordName(d *document.Document, at place) string {
+func recordName(d *document.Document, at location) string {
 	part, found := fieldNamed(reflect.ValueOf(d).Elem(), at.section)
 	if !found || part.Kind() != reflect.Slice || at.record < 0 || at.record >= part.Len() {
 		return ""
@@ -77,28 +78,29 @@
 	return part.Index(at.record).Field(0).String()
 }
 
-// placeFaults puts the check's faults of a section beside its fields; those of
-// records on other pages go to the top.
+// placeFaults adds the check's faults to the controls of their fields. Faults of
+// records on other pages are listed at the top.
 func (f *form) placeFaults(d *document.Document, faults document.Faults) {
 	focused := false
 	for _, fault := range faults {
-		at := placeOf(fault.Path)
+		at := locate(fault.Path)
 		if at.section != f.Section.ID {
 			continue
 		}
 		control := f.control(recordName(d, at), at.field)
 		if control == nil {
-			told := say(d, fault)
-			f.Faults = append(f.Faults, told.Where+": "+told.Text)
+			listed := describeFault(d, fault)
+			f.Faults = append(f.Faults, listed.Where+": "+listed.Text)
 			continue
 		}
-		control.Faults = append(control.Faults, words(fault))
+		control.Faults = append(control.Faults, faultText(fault))
 		control.Focus = !focused
 		focused = true
 	}
 }
 
-// control finds the control of a record's field on this page.
+// control returns the control of a record's field, or nil if it is not on this
+// page.
 func (f *form) control(record, fieldName string) *field {
 	for i := range f.Rows {
 		if f.Rows[i].Name != record {
@@ -113,11 +115,12 @@
 	return nil
 }
 
-// showTyped shows a page again as it was filled in, with what could not be read.
-func (f *form) showTyped(values formValues, faults []formFault) {
+// showInput sets the controls to the operator's input, with the faults of fields
+// that could not be parsed.
+func (f *form) showInput(values formValues, faults []formFault) {
 	focused := false
 	show := func(control *field) {
-		control.typed(values)
+		control.setInput(values)
 		for _, fault := range faults {
 			if fault.Name == control.Name {
 				control.Faults = append(control.Faults, fault.Text)
--- a/internal/console/field.go
+++ b/internal/console/field.go
@@ -11,7 +11,7 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// control is the sort of a form control.
+// control is the kind of a form control.
 type control string
 
 const (
@@ -22,12 +22,12 @@
 	controlLines    control = "lines"
 )
 
-// checked is the value that a browser sends for a ticked box.
+// checked is the value that a browser sends for a checked checkbox.
 const checked = "on"
 
-// field is one control of a form with what is wrong with it.
+// field is one control of a form, with its faults.
 type field struct {
-	// Name is the form's name of the control and its id in the page.
+	// Name is the control's name in the form and its id in the page.
 	Name    string
 	Label   string
 	Help    string
@@ -36,15 +36,15 @@
 	Checked bool
 	Choices []string
 	Faults  []string
-	// Focus: the first control with a fault, where the page begins.
+	// Focus is true for the first control with a fault, which receives the focus.
 	Focus bool
 }
 
-// HelpID and FaultID are ids of the texts that describe the control.
+// HelpID and FaultID return the ids of the texts that describe the control.
 func (f field) HelpID() string  { return f.Name + "-help" }
 func (f field) FaultID() string { return f.Name + "-fault" }
 
-// DescribedBy is the value of aria-describedby.
+// DescribedBy returns the value of aria-describedby.
 func (f field) DescribedBy() string {
 	var ids []string
 	if len(f.Faults) > 0 {
@@ -56,8 +56,8 @@
 	return strings.Join(ids, " ")
 }
 
-// fieldsOf forms the controls of a record. Names of controls are the prefix and
-// the JSON name.
+// fieldsOf returns the controls of a record. The name of a control is the prefix
+// and the JSON name.
 func fieldsOf(d *document.Document, sectionID, prefix string, record reflect.Value, skipName bool) []field {
 	var out []field
 	for i := range record.NumField() {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// optional: the field may be left out of the document.
+// optional reports whether the field may be omitted from the document.
 func optional(f reflect.StructField) bool {
 	return strings.Contains(f.Tag.Get("json"), ",omitempty")
 }
@@ -115,8 +115,8 @@
 	f.Value = strings.Join(items, separator)
 }
 
-// offerValue keeps a value that is not among the choices, so that a page never
-// changes it silently.
+// offerValue adds the current value to the choices if it is missing, so that a
+// page never changes it silently.
 func (f *field) offerValue() {
 	if f.Control != controlSelect {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// typed shows again what the operator wrote, which may not be a value.
-func (f *field) typed(values formValues) {
+// setInput sets the control to the operator's input, which may be invalid.
+func (f *field) setInput(values formValues) {
 	if f.Control == controlCheckbox {
 		f.Checked = values.get(f.Name) == checked
 		return
@@ -142,13 +142,14 @@
 	get(name string) string
 }
 
-// formFault says that what was written is no value of its field.
+// formFault reports that the input of a field is invalid.
 type formFault struct {
-	// Name is that of the control.
+	// Name is the name of the control.
 	Name, Text string
 }
 
-// readRecord sets a record's fields from a form; its name too unless skipName.
+// readRecord sets a record's fields from a form, except its name if skipName is
+// set.
 func readRecord(values formValues, prefix string, record reflect.Value, skipName bool) []formFault {
 	var faults []formFault
 	for i := range record.NumField() {
@@ -163,7 +164,8 @@
 	return faults
 }
 
-// readField sets one value and returns what is wrong, in words.
+// readField parses the text and sets the value. It returns a description of the
+// problem, or "".
 func readField(text string, v reflect.Value, optional bool) string {
 	text = strings.TrimSpace(text)
 	switch v.Kind() {
@@ -214,7 +216,7 @@
 	return fmt.Sprintf("%q is not a number; write %s", text, want)
 }
 
-// items splits a list at commas and white space, neither of which a name has.
+// items splits a list at commas and white space, which names do not contain.
 func items(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || unicode.IsSpace(r) })
 }
--- a/internal/console/form.go
+++ b/internal/console/form.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// pageRecords is how many records of a list one page shows.
+	// pageRecords is the number of records of a list on one page.
 	pageRecords = 25
 	prefixPart  = "v."
 	prefixNew   = "new."
@@ -23,50 +23,52 @@
 	suffixPosition = "position"
 )
 
-// form is the page of one section.
+// form is the content of the page of one section.
 type form struct {
 	Section section
 	Rows    []row
-	// New is the empty row for a record to be added; nil for no list.
+	// New is the empty row for a record to be added; nil if the section is no list.
 	New *row
-	// Query is what was searched for, Page the page shown of Pages, from 1.
+	// Query is the search text, Page the number, from 1, of the page shown, and
+	// Pages the number of pages.
 	Query       string
 	Page, Pages int
-	// Matches of Total records fit the query.
+	// Matches is the number of records that match the query, Total that of all
+	// records.
 	Matches, Total int
-	// Faults that belong to no control on this page.
+	// Faults lists faults that belong to no control on this page.
 	Faults []string
 }
 
-// Before and Next are the numbers of the pages beside this one.
+// Before and Next return the numbers of the adjacent pages.
 func (f form) Before() int { return f.Page - 1 }
 func (f form) Next() int   { return f.Page + 1 }
 
-// row is one record, or the one part of a section that is no list.
+// row is one record, or the whole content of a section that is no list.
 type row struct {
 	// Name is the record's name; Prefix begins the names of its controls.
 	Name, Prefix string
 	Fields       []field
-	// Position is shown in ordered lists.
+	// Position is the control of the position in ordered lists, else nil.
 	Position *field
-	// Removed: the box that removes the record is ticked.
+	// Removed is true if the checkbox that removes the record is checked.
 	Removed bool
 }
 
-// RecordName, RemoveName are names of the row's own controls.
+// RecordName and RemoveName return the names of the row's own controls.
 func (r row) RecordName() string { return r.Prefix + suffixRecord }
 func (r row) RemoveName() string { return r.Prefix + suffixRemove }
 
 func rowPrefix(i int) string { return "r" + strconv.Itoa(i) + "." }
 
-// view says which records of a section to show.
+// view selects the records of a section to show.
 type view struct {
 	section section
 	query   string
 	page    int
 }
 
-// buildForm forms the page of a section, without faults.
+// buildForm returns the form of a section, without faults.
 func buildForm(d *document.Document, v view) form {
 	part, _ := fieldNamed(reflect.ValueOf(d).Elem(), v.section.ID)
 	f := form{Section: v.section, Query: v.query, Page: 1, Pages: 1}
@@ -107,7 +109,7 @@
 	return &field{Name: prefix + suffixPosition, Label: "Position", Control: controlNumber, Value: strconv.Itoa(position)}
 }
 
-// defaultRecord is what a record has where the file leaves numbers out.
+// defaultRecord returns a record with the defaults of omitted numbers.
 func defaultRecord(t reflect.Type) reflect.Value {
 	record := reflect.New(t)
 	switch r := record.Interface().(type) {
@@ -123,7 +125,8 @@
 	return record.Elem()
 }
 
-// matching lists the records whose name has the query in it.
+// matching returns the indices of the records whose name contains the query,
+// ignoring case.
 func matching(list reflect.Value, query string) []int {
 	query = strings.ToLower(strings.TrimSpace(query))
 	var found []int
@@ -135,33 +138,34 @@
 	return found
 }
 
-// readForm makes what a posted page of a section says in the document. added is
-// the name of a record that is new. With faults the document is of no use.
+// readForm applies a posted page of a section to the document. It returns the
+// name of an added record, if any. If it returns faults, the document must be
+// discarded.
 func readForm(d *document.Document, s section, values formValues) (added string, faults []formFault) {
 	part, _ := fieldNamed(reflect.ValueOf(d).Elem(), s.ID)
 	if !s.List() {
 		return "", readRecord(values, prefixPart, part, false)
 	}
-	// Records that a search hides keep the place that they have.
-	places := make(map[string]int)
+	// Records that a search hides keep their position.
+	positions := make(map[string]int)
 	if s.Ordered {
 		for i := range part.Len() {
-			places[part.Index(i).Field(0).String()] = i + 1
+			positions[part.Index(i).Field(0).String()] = i + 1
 		}
 	}
-	was := maps.Clone(places)
+	previous := maps.Clone(positions)
 	for i := range pageRecords {
-		faults = append(faults, readRow(part, s, rowPrefix(i), values, places)...)
+		faults = append(faults, readRow(part, s, rowPrefix(i), values, positions)...)
 	}
-	added, more := readNew(part, s, values, places)
+	added, more := readNew(part, s, values, positions)
 	faults = append(faults, more...)
 	if s.Ordered && len(faults) == 0 {
-		reorder(d, places, was)
+		reorder(d, positions, previous)
 	}
 	return added, faults
 }
 
-func readRow(part reflect.Value, s section, prefix string, values formValues, places map[string]int) []formFault {
+func readRow(part reflect.Value, s section, prefix string, values formValues, positions map[string]int) []formFault {
 	name := values.get(prefix + suffixRecord)
 	at := indexOf(part, name)
 	if name == "" || at < 0 {
@@ -172,26 +176,26 @@
 		return nil
 	}
 	faults := readRecord(values, prefix, part.Index(at), true)
-	return append(faults, readPosition(s, prefix, name, values, places)...)
+	return append(faults, readPosition(s, prefix, name, values, positions)...)
 }
 
-func readPosition(s section, prefix, name string, values formValues, places map[string]int) []formFault {
+func readPosition(s section, prefix, name string, values formValues, positions map[string]int) []formFault {
 	if !s.Ordered {
 		return nil
 	}
 	text := strings.TrimSpace(values.get(prefix + suffixPosition))
-	place, err := strconv.Atoi(text)
+	position, err := strconv.Atoi(text)
 	if err != nil {
 		return []formFault{{Name: prefix + suffixPosition, Text: notNumber(text, "a whole number; 1 is the most important")}}
 	}
-	places[name] = place
+	positions[name] = position
 	return nil
 }
 
-// readNew adds a record where the empty row was filled. Names are judged here:
-// a doubled one would make two records into one in the draft.
-func readNew(part reflect.Value, s section, values formValues, places map[string]int) (string, []formFault) {
-	if !posted(values) {
+// readNew adds a record if the empty row was filled in. It validates the name
+// here, because a duplicate would merge two records into one in the draft.
+func readNew(part reflect.Value, s section, values formValues, positions map[string]int) (string, []formFault) {
+	if !hasNewRow(values) {
 		return "", nil
 	}
 	record := reflect.New(part.Type().Elem()).Elem()
@@ -208,7 +212,7 @@
 	case indexOf(part, name) >= 0:
 		faults = append(faults, formFault{Name: at, Text: fmt.Sprintf("%q is the name of another; give each its own name", name)})
 	}
-	faults = append(faults, readPosition(s, prefixNew, name, values, places)...)
+	faults = append(faults, readPosition(s, prefixNew, name, values, positions)...)
 	if len(faults) > 0 {
 		return "", faults
 	}
@@ -216,8 +220,8 @@
 	return name, nil
 }
 
-// posted: the form had the row for a new record.
-func posted(values formValues) bool { return values.get(prefixNew+suffixRecord) != "" }
+// hasNewRow reports whether the form had the row for a new record.
+func hasNewRow(values formValues) bool { return values.get(prefixNew+suffixRecord) != "" }
 
 func validName(name string) bool {
 	if len(name) > document.MaxNameLength {
@@ -230,23 +234,24 @@
 	})
 }
 
-// reorder sorts tiers by the positions written. Of two at one position one that
-// moved up goes first and one that moved down last, so each gets the place that
-// was written for it.
-func reorder(d *document.Document, places, was map[string]int) {
+// reorder sorts tiers by the positions entered. Of two tiers with the same
+// position, one that moved up sorts first and one that moved down last, so that
+// the moved tier gets the position entered for it.
+func reorder(d *document.Document, positions, previous map[string]int) {
 	slices.SortStableFunc(d.Tiers, func(a, b document.Tier) int {
-		if byPlace := cmp.Compare(places[a.Name], places[b.Name]); byPlace != 0 {
-			return byPlace
+		if byPosition := cmp.Compare(positions[a.Name], positions[b.Name]); byPosition != 0 {
+			return byPosition
 		}
-		return cmp.Compare(moved(places, was, a.Name), moved(places, was, b.Name))
+		return cmp.Compare(moved(positions, previous, a.Name), moved(positions, previous, b.Name))
 	})
 }
 
-// moved is -1 for up and for a new record, 1 for down.
-func moved(places, was map[string]int, name string) int {
-	before, old := was[name]
+// moved returns -1 if the record moved up or is new, 1 if it moved down and 0
+// otherwise.
+func moved(positions, previous map[string]int, name string) int {
+	before, old := previous[name]
 	if !old {
 		return -1
 	}
-	return cmp.Compare(places[name], before)
+	return cmp.Compare(positions[name], before)
 }
--- a/internal/console/form_test.go
+++ b/internal/console/form_test.go
@@ -10,7 +10,7 @@
 	"sycamoretrail/internal/operators/operatorstest"
 )
 
-// fault is the text of the fault beside a control.
+// fault returns the text of the fault shown at a control.
 func (b *browser) fault(control string) string {
 	_, rest, found := strings.Cut(b.body, `id="`+control+`-fault">`)
 	if !found {
@@ -21,7 +21,7 @@
 }
 
 var _ = Describe("forms", func() {
-	It("shows what cannot be read beside its field, and keeps what was typed", func() {
+	It("shows invalid input at its field, and keeps the input", func() {
 		b := newSite(operatorstest.Document(1)).loggedIn()
 		b.post("/edit", "go", "limits")
 		b.post("/edit", "v.in_flight", "many", "v.connections", "123", "go", "review")
@@ -32,7 +32,7 @@
 		Expect(b.body).To(MatchRegexp(`id="v.in_flight"[^>]* aria-describedby="v.in_flight-fault v.in_flight-help" aria-invalid="true" autofocus`))
 	})
 
-	It("shows the check's faults beside their fields, and publishes nothing", func() {
+	It("shows the check's faults at their fields, and publishes nothing", func() {
 		s := newSite(operatorstest.Document(2))
 		b := s.loggedIn()
 		b.post("/edit", "go", "organisations")
@@ -50,7 +50,7 @@
 		Expect(b.text()).To(ContainSubstring("Accepted as version 2"))
 	})
 
-	DescribeTable("refuses a new record that could not be told from another",
+	DescribeTable("refuses a new record without a valid, unique name",
 		func(name, want string) {
 			b := newSite(operatorstest.Document(1)).loggedIn()
 			b.post("/edit", "go", "models")
@@ -63,7 +63,7 @@
 		Entry("with a bracket", "a]b", "not allowed"),
 	)
 
-	It("names the model's page and shows the added record", func() {
+	It("shows an added record, with its faults", func() {
 		b := newSite(operatorstest.Document(60)).loggedIn()
 		b.post("/edit", "go", "organisations")
 		b.post("/edit", "new.name", "newcomer", "new.tiers", "rider", "go", "organisations")
@@ -71,9 +71,9 @@
 		Expect(b.fault("r0.key_hashes")).To(ContainSubstring("has 0 hashes"))
 	})
 
-	// With 38,000 customers a page of all of them would have 266,000 controls, which
-	// no browser takes. The page shows a part, finds the others by name, and a
-	// change to one of them is one change of a small draft.
+	// One page with 38,000 organisations would have 266,000 controls, too many for a
+	// browser. A page shows some of them, others are found by name, and a change to
+	// one organisation must be one change in a small draft.
 	It("pages and searches 38,000 organisations", func() {
 		b := newSite(operatorstest.Document(38_000)).loggedIn()
 		b.post("/edit", "go", "organisations")
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Purposes keep what was signed for one use from being shown for another.
+// Purposes of signatures. A signature for one purpose is invalid for the others.
 const (
 	purposeDraft   = "draft"
 	purposeCSRF    = "csrf"
@@ -22,8 +22,8 @@
 
 const keyBytes = 32
 
-// keys protect what the console hands out and takes back. They are drawn at
-// start and kept nowhere: a restart ends every session and draft.
+// keys protects the data that browsers hold for the console. The keys are
+// generated at start and not stored, so a restart ends all sessions and drafts.
 type keys struct {
 	mac  []byte
 	aead cipher.AEAD
@@ -50,7 +50,7 @@
 	return mac.Sum(nil)
 }
 
-// sign forms "<data>.<tag>", both in base64url.
+// sign returns "<data>.<tag>", both in base64url.
 func (k *keys) sign(purpose string, data []byte) string {
 	return base64.RawURLEncoding.EncodeToString(data) + "." + base64.RawURLEncoding.EncodeToString(k.tag(purpose, data))
 }
@@ -68,20 +68,19 @@
 	return data, true
 }
 
-// csrf is the token that a form of this session must bring along.
+// csrf returns the CSRF token that the forms of the session must contain.
 func (k *keys) csrf(cookie string) string {
 	return base64.RawURLEncoding.EncodeToString(k.tag(purposeCSRF, []byte(cookie)))
 }
 
-// session is the content of the cookie of an operator who is logged in.
+// session is the content of the cookie of a logged-in operator.
 type session struct {
 	Token string `json:"token"`
 	// Expires is in Unix seconds.
 	Expires int64 `json:"expires"`
 }
 
-// seal encrypts a session: the cookie holds the operator's token, which the
-// browser's owner alone should be able to use.
+// seal encrypts a session, because the cookie contains the operator's token.
 func (k *keys) seal(s session) (string, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
--- a/internal/console/log.go
+++ b/internal/console/log.go
@@ -8,12 +8,13 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// logTimeout bounds the question whether the log answers.
+// logTimeout bounds one check of one log server.
 const logTimeout = time.Second
 
-// AskLog returns a function that asks the log's base URLs in turn whether one
-// answers. A stream that does not exist yet is an answer too.
-func AskLog(urls []string) func() bool {
+// LogChecker returns a function that tries the log's base URLs in turn and
+// reports whether one answers. The error for a stream that does not exist yet
+// counts as an answer.
+func LogChecker(urls []string) func() bool {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1, DialDualStack: true}
 	path := "/logs/" + string(record.StreamDocuments) + "/records?from=0&max=1&wait_ms=0"
 	return func() bool {
--- a/internal/console/login.go
+++ b/internal/console/login.go
@@ -13,29 +13,30 @@
 
 const (
 	cookieSession = "session"
-	// cookieLogin ties the login form to the browser that it was given to.
+	// cookieLogin binds the login form to the browser that requested it.
 	cookieLogin = "login"
 	fieldCSRF   = "csrf"
 	fieldToken  = "token"
 )
 
-// visit is one request of an operator who is logged in.
+// visit is one request of a logged-in operator.
 type visit struct {
 	ctx    *fasthttp.RequestCtx
 	client *operatorclient.Client
 	csrf   string
 }
 
-// get reads a field of the posted form.
+// get returns a field of the posted form.
 func (v *visit) get(name string) string { return string(v.ctx.PostArgs().Peek(name)) }
 
-// member lets through operators who are logged in, and forms of this session.
-func (c *Console) member(next func(*visit)) fasthttp.RequestHandler {
+// requireSession calls next for requests of logged-in operators. Forms must have
+// the CSRF token of the session.
+func (c *Console) requireSession(next func(*visit)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		cookie := string(ctx.Request.Header.Cookie(cookieSession))
 		session, ok := c.keys.open(cookie, c.options.Now())
 		if !ok {
-			c.forget(ctx, "")
+			c.endSession(ctx, "")
 			return
 		}
 		if ctx.IsPost() && !c.ownForm(ctx, cookie) {
@@ -46,9 +47,9 @@
 	}
 }
 
-// ownForm: the form came from a page that this console gave to this browser.
-// The cookie alone does not show that; another site's form would bring it too
-// where a browser does not know SameSite.
+// ownForm reports whether the form is from a page that this console sent to this
+// browser. The cookie alone does not prove that: browsers without SameSite support
+// also send it with forms of other sites.
 func (c *Console) ownForm(ctx *fasthttp.RequestCtx, cookie string) bool {
 	if origin := ctx.Request.Header.Peek(fasthttp.HeaderOrigin); len(origin) > 0 {
 		parsed, err := url.Parse(string(origin))
@@ -68,7 +69,7 @@
 	})
 }
 
-// loginData is what the login page shows.
+// loginData is the content of the login page.
 type loginData struct{ Action string }
 
 func (c *Console) loginPage(ctx *fasthttp.RequestCtx) {
@@ -113,8 +114,8 @@
 	redirect(ctx, pathLogin)
 }
 
-// forget ends a session that is of no use and asks for the token again.
-func (c *Console) forget(ctx *fasthttp.RequestCtx, problem string) {
+// endSession removes the session cookie and shows the login page.
+func (c *Console) endSession(ctx *fasthttp.RequestCtx, problem string) {
 	setCookie(ctx, cookieSession, "", -1)
 	if problem == "" {
 		redirect(ctx, pathLogin)
@@ -123,8 +124,9 @@
 	c.showLogin(ctx, fasthttp.StatusForbidden, problem)
 }
 
-// setCookie sets a cookie that scripts cannot read and other sites cannot send.
-// maxAge is in seconds; 0: until the browser closes; negative: remove it.
+// setCookie sets a cookie that is hidden from scripts and not sent with requests
+// from other sites. maxAge is in seconds; 0 keeps the cookie until the browser
+// closes, and a negative value removes it.
 func setCookie(ctx *fasthttp.RequestCtx, name, value string, maxAge int) {
 	cookie := fasthttp.AcquireCookie()
 	defer fasthttp.ReleaseCookie(cookie)
--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -11,17 +11,17 @@
 	"sycamoretrail/internal/operatorclient"
 )
 
-// current is the document in force, or an empty one before the first.
+// current is the document in force, or an empty document if there is none yet.
 type current struct {
 	doc     *document.Document
 	version int64
 	id      string
 }
 
-// errForeign: the entries hold what this build cannot read.
-var errForeign = errors.New("the document in force is of another version than this console; run the console of the entries' version")
+// errIncompatible reports a document in force that this build cannot parse.
+var errIncompatible = errors.New("the document in force is of another version than this console; run the console of the entries' version")
 
-// load reads what is in force from the first entry that answers.
+// load reads the document in force from the first entry that answers.
 func load(client *operatorclient.Client) (current, error) {
 	answer, err := client.Document()
 	if err != nil {
@@ -33,19 +33,19 @@
 	}
 	doc, err := document.Parse(data)
 	if err != nil {
-		return current{}, fmt.Errorf("%w (%w)", errForeign, err)
+		return current{}, fmt.Errorf("%w (%w)", errIncompatible, err)
 	}
 	return current{doc: doc, version: answer.Version, id: answer.ID}, nil
 }
 
-// overviewData is what the first page shows.
+// overviewData is the content of the overview page.
 type overviewData struct {
 	Version int64
 	ID      string
 	Comment string
 	Counts  []count
 	Entries entriesData
-	// LogAnswers is "yes", "no" or empty where it was not asked.
+	// LogAnswers is "yes", "no" or, if the log was not checked, empty.
 	LogAnswers string
 }
 
@@ -57,7 +57,8 @@
 // entriesData is the table of the entries.
 type entriesData struct {
 	Rows []entryRow
-	// InForce of Answered entries hold the version, of Listed in all.
+	// Listed is the number of entries, Answered of those that answered, and InForce
+	// of those that have the version in force.
 	Version                   int64
 	InForce, Answered, Listed int
 }
@@ -72,14 +73,14 @@
 func entriesOf(statuses []operatorclient.EntryStatus, version int64) entriesData {
 	data := entriesData{Version: version, Listed: len(statuses)}
 	data.InForce, data.Answered = operatorclient.CountInForce(statuses, version)
-	for _, one := range statuses {
-		row := entryRow{Address: one.Address}
-		if one.Err != nil {
-			row.Error = one.Err.Error()
+	for _, entry := range statuses {
+		row := entryRow{Address: entry.Address}
+		if entry.Err != nil {
+			row.Error = entry.Err.Error()
 			data.Rows = append(data.Rows, row)
 			continue
 		}
-		s := one.Status
+		s := entry.Status
 		row.Name, row.Zone, row.State = s.Entry.Name, s.Entry.Zone, s.State
 		row.Version, row.InFlight, row.LogAvailable = s.Version, s.InFlight, s.LogAvailable
 		row.Behind = s.Version < version
--- a/internal/console/page.go
+++ b/internal/console/page.go
@@ -16,60 +16,61 @@
 
 // Pages, by the names of their templates.
 const (
-	pageLogin     = "login"
-	pageProblem   = "problem"
-	pageOverview  = "overview"
-	pageEdit      = "edit"
-	pageReview    = "review"
-	pagePublished = "published"
-	pageBeaten    = "beaten"
-	pageUnknown   = "unknown"
+	pageLogin      = "login"
+	pageProblem    = "problem"
+	pageOverview   = "overview"
+	pageEdit       = "edit"
+	pageReview     = "review"
+	pagePublished  = "published"
+	pageSuperseded = "beaten"
+	pageUnknown    = "unknown"
 )
 
 type pages map[string]*template.Template
 
-// loadPages parses the embedded templates, which the tests render, so that a
-// template that does not parse never ships.
+// loadPages parses the embedded templates. It panics on errors, which tests
+// detect because they render the templates.
 func loadPages() pages {
 	out := make(pages)
-	for _, name := range []string{pageLogin, pageProblem, pageOverview, pageEdit, pageReview, pagePublished, pageBeaten, pageUnknown} {
+	for _, name := range []string{pageLogin, pageProblem, pageOverview, pageEdit, pageReview, pagePublished, pageSuperseded, pageUnknown} {
 		out[name] = template.Must(template.ParseFS(files, "templates/layout.html", "templates/"+name+".html"))
 	}
 	return out
 }
 
-// page is what every template gets.
+// page is the data passed to every template.
 type page struct {
 	Title string
-	// Notice says that something was done, Problem that something is wrong.
+	// Notice reports a completed action, Problem an error.
 	Notice, Problem string
 	LoggedIn        bool
 	CSRF            string
-	// Draft is the sealed draft; empty outside of a change.
+	// Draft is the sealed draft, or empty on pages without one.
 	Draft string
-	// Changing describes the draft; nil outside of a change.
+	// Changing summarizes the draft; nil on pages without one.
 	Changing *changing
 	Body     any
 }
 
-// changing is what the pages of a draft show of it.
+// changing is the summary of a draft shown on its pages.
 type changing struct {
 	Base    int64
 	Changes int
 	Faults  int
 	Parts   []part
-	// Here is the page shown, as a value of the field "go".
+	// Here is the current page, as a value of the form field "go".
 	Here string
 }
 
-// part is a page of the draft to go to.
+// part is a link to the page of a section of the draft.
 type part struct {
 	ID, Title string
 	Faults    int
 	Current   bool
 }
 
-// show renders into memory first, so that a failure does not leave half a page.
+// show renders a page. It renders into memory first, so that an error does not
+// send a partial page.
 func (c *Console) show(ctx *fasthttp.RequestCtx, status int, name string, p page) {
 	var out bytes.Buffer
 	if err := c.pages[name].ExecuteTemplate(&out, "layout", p); err != nil {
@@ -82,17 +83,17 @@
 	ctx.SetBody(out.Bytes())
 }
 
-// answer shows a page to an operator who is logged in.
+// answer shows a page to a logged-in operator.
 func (c *Console) answer(v *visit, status int, name string, p page) {
 	p.LoggedIn = true
 	p.CSRF = v.csrf
 	c.show(v.ctx, status, name, p)
 }
 
-// fail shows what went wrong. A token that the entries refuse ends the session.
+// fail shows the error. If the entries reject the token, the session ends.
 func (c *Console) fail(v *visit, err error) {
 	if errors.Is(err, operatorclient.ErrToken) {
-		c.forget(v.ctx, "The entries refuse this token: "+err.Error())
+		c.endSession(v.ctx, "The entries refuse this token: "+err.Error())
 		return
 	}
 	status := fasthttp.StatusBadGateway
--- a/internal/console/publish.go
+++ b/internal/console/publish.go
@@ -12,25 +12,25 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// maxDocument is the most that the log takes as one record.
+// maxDocument is the size limit of one record in the log, in bytes.
 const maxDocument = 1 << 20
 
-// publish sends the draft's document and shows what became of it.
+// publish publishes the draft's document and shows the result.
 func (c *Console) publish(v *visit) {
 	x, err := c.open(v)
 	if err != nil {
 		c.fail(v, err)
 		return
 	}
-	if _, _, err := x.take(v); err != nil {
+	if _, _, err := x.applyForm(v); err != nil {
 		c.fail(v, err)
 		return
 	}
 	switch {
 	case x.base.id == x.draft.id():
 		c.accepted(v, x.draft.id(), x.base.version)
-	case len(x.faults) > 0 && x.overtaken():
-		c.beaten(v, x, false, "")
+	case len(x.faults) > 0 && x.outdated():
+		c.showDifference(v, x, false, "")
 	case len(x.faults) > 0:
 		c.review(v, x, fasthttp.StatusUnprocessableEntity, "There are faults; nothing was published.")
 	default:
@@ -38,8 +38,8 @@
 	}
 }
 
-// send publishes and shows the result. Sending again what was sent is harmless:
-// the same draft has the same id, and the second record of an id has no effect.
+// send publishes the document and shows the result. Sending a draft twice is
+// harmless: it has the same id, and the second record of an id has no effect.
 func (c *Console) send(v *visit, x change) {
 	data, err := document.Encode(x.doc)
 	if err != nil {
@@ -62,15 +62,15 @@
 		"result":   string(published.Result),
 		"version":  published.Version,
 	}).Info("document was published from the console")
-	c.tell(v, x, published)
+	c.showResult(v, x, published)
 }
 
-func (c *Console) tell(v *visit, x change, published api.Published) {
+func (c *Console) showResult(v *visit, x change, published api.Published) {
 	switch published.Result {
 	case api.ResultAccepted:
 		c.accepted(v, x.draft.id(), published.Version)
 	case api.ResultBeaten:
-		c.lost(v, x, published)
+		c.showSuperseded(v, x, published)
 	case api.ResultInvalid:
 		x.faults = documentFaults(published.Faults)
 		c.review(v, x, fasthttp.StatusUnprocessableEntity, "The entry refused the document; nothing was published.")
@@ -89,14 +89,15 @@
 	return out
 }
 
-// acceptance is what the address of the page of an accepted document carries,
-// signed, so that nobody can make up a page that says a change is in force.
+// acceptance is the signed content of the URL of the page of an accepted
+// document. The signature prevents forged links to pages that show a change as
+// accepted.
 type acceptance struct {
 	ID      string `json:"id"`
 	Version int64  `json:"version"`
 }
 
-// accepted goes to a page of its own, which may be loaded again at will.
+// accepted redirects to the page of the accepted document, which can be reloaded.
 func (c *Console) accepted(v *visit, id string, version int64) {
 	data, err := json.Marshal(acceptance{ID: id, Version: version})
 	if err != nil {
@@ -106,75 +107,78 @@
 	redirect(v.ctx, pathPublished+"?o="+url.QueryEscape(c.keys.sign(purposeOutcome, data)))
 }
 
-// publishedData is what the page of an accepted document shows.
+// publishedData is the content of the page of an accepted document.
 type publishedData struct {
 	ID      string
 	Version int64
 	Entries entriesData
-	// Now is the version in force at present where another document followed.
+	// Now and NowID are the version and id in force if another document followed.
 	Now   int64
 	NowID string
 }
 
 func (c *Console) published(v *visit) {
-	var told acceptance
+	var accepted acceptance
 	data, ok := c.keys.verify(purposeOutcome, string(v.ctx.QueryArgs().Peek("o")))
-	if !ok || json.Unmarshal(data, &told) != nil {
+	if !ok || json.Unmarshal(data, &accepted) != nil {
 		redirect(v.ctx, pathOverview)
 		return
 	}
-	shown := publishedData{ID: told.ID, Version: told.Version, Entries: entriesOf(v.client.Statuses(), told.Version)}
-	if now, err := load(v.client); err == nil && now.version > told.Version {
-		shown.Now, shown.NowID = now.version, now.id
+	content := publishedData{ID: accepted.ID, Version: accepted.Version, Entries: entriesOf(v.client.Statuses(), accepted.Version)}
+	if now, err := load(v.client); err == nil && now.version > accepted.Version {
+		content.Now, content.NowID = now.version, now.id
 	}
-	c.answer(v, fasthttp.StatusOK, pagePublished, page{Title: "Accepted", Body: shown})
+	c.answer(v, fasthttp.StatusOK, pagePublished, page{Title: "Accepted", Body: content})
 }
 
-// beatenData is what the page of a beaten document shows.
-type beatenData struct {
-	// Winner came first; Version is in force now, with its author's Comment.
+// supersededData is the content of the page of a superseded document.
+type supersededData struct {
+	// Winner is the id of the document that was accepted first. Version and Comment
+	// are those of the document in force.
 	Winner  string
 	Version int64
 	Comment string
-	// Difference is what the draft would change in the document in force.
+	// Difference lists the changes from the document in force to the draft.
 	Difference []document.Change
 	Conflicts  []conflict
 	Published  bool
 }
 
-// Table heads the changes as they are between two operators.
-func (d beatenData) Table() changesTable {
+// Table returns the changes with headings for the two operators' documents.
+func (d supersededData) Table() changesTable {
 	return changesTable{Before: "Theirs", After: "Yours", Changes: d.Difference}
 }
 
-// lost shows a publication that another document beat, against what is in force.
-func (c *Console) lost(v *visit, x change, published api.Published) {
+// showSuperseded shows the difference of a superseded publication to the document
+// in force.
+func (c *Console) showSuperseded(v *visit, x change, published api.Published) {
 	base, err := load(v.client)
 	if err != nil {
 		c.fail(v, err)
 		return
 	}
 	x.base = base
-	if err := x.settle(); err != nil {
+	if err := x.rebuild(); err != nil {
 		c.fail(v, err)
 		return
 	}
-	c.beaten(v, x, true, published.Winner)
+	c.showDifference(v, x, true, published.Winner)
 }
 
-// beaten shows the difference between theirs and yours. sent tells a document
-// that was published and beaten from a draft that was overtaken before that.
-func (c *Console) beaten(v *visit, x change, sent bool, winner string) {
+// showDifference shows the difference between the document in force and the
+// draft. sent is true if the draft was published and superseded, and false if
+// another document came into force before that.
+func (c *Console) showDifference(v *visit, x change, sent bool, winner string) {
 	_, conflicts, err := x.draft.document(x.base.doc)
 	if err != nil {
 		c.fail(v, err)
 		return
 	}
-	data := beatenData{
+	data := supersededData{
 		Winner:     winner,
 		Version:    x.base.version,
 		Comment:    x.base.doc.Comment,
-		Difference: shown(x.base.doc, x.doc),
+		Difference: listChanges(x.base.doc, x.doc),
 		Conflicts:  conflicts,
 		Published:  sent,
 	}
@@ -186,24 +190,24 @@
 		c.fail(v, err)
 		return
 	}
-	c.answer(v, fasthttp.StatusConflict, pageBeaten, page{Title: "Beaten by another document", Draft: sealed, Body: data})
+	c.answer(v, fasthttp.StatusConflict, pageSuperseded, page{Title: "Beaten by another document", Draft: sealed, Body: data})
 }
 
-// rebase puts the draft onto the document in force, under a new id: the old one
-// may have been published and beaten.
+// rebase rebases the draft onto the document in force. The draft gets a new id,
+// because the old one may have been published and superseded.
 func (c *Console) rebase(v *visit, x change) {
-	onto := newDraft(x.base.version)
-	onto.Comment = x.draft.Comment
-	onto.take(x.base.doc, x.doc)
-	x.draft = onto
-	if err := x.settle(); err != nil {
+	rebased := newDraft(x.base.version)
+	rebased.Comment = x.draft.Comment
+	rebased.setChanges(x.base.doc, x.doc)
+	x.draft = rebased
+	if err := x.rebuild(); err != nil {
 		c.fail(v, err)
 		return
 	}
 	c.review(v, x, fasthttp.StatusOK, "")
 }
 
-// unknownData is what the page of an undecided publication shows.
+// unknownData is the content of the page of an undecided publication.
 type unknownData struct {
 	ID         string
 	Base       int64
@@ -212,7 +216,7 @@
 	LogAnswers string
 }
 
-// unknown shows that nobody can say yet; the draft stays in the page.
+// unknown shows that the result is not known yet. The page keeps the draft.
 func (c *Console) unknown(v *visit, x change, detail string) {
 	data := unknownData{
 		ID:         x.draft.id(),
@@ -229,11 +233,11 @@
 	c.answer(v, fasthttp.StatusAccepted, pageUnknown, page{Title: "Not known yet", Draft: sealed, Body: data})
 }
 
-// lookAgain settles an undecided publication as far as it can be. Where another
-// version is in force the document is sent again under its id: its base has
-// passed, so it cannot come in force by that, and the entry says what became of
-// it before.
-func (c *Console) lookAgain(v *visit) {
+// recheck determines the result of an undecided publication if possible. If
+// another version is in force, the document is sent again under its id: it can no
+// longer come into force because its base is outdated, and the entry reports the
+// earlier result.
+func (c *Console) recheck(v *visit) {
 	x, err := c.open(v)
 	if err != nil {
 		c.fail(v, err)
@@ -242,10 +246,10 @@
 	switch {
 	case x.base.id == x.draft.id():
 		c.accepted(v, x.draft.id(), x.base.version)
-	case !x.overtaken():
+	case !x.outdated():
 		c.unknown(v, x, "The version that you started from is still in force, and your document is not.")
 	case len(x.faults) > 0:
-		c.beaten(v, x, false, "")
+		c.showDifference(v, x, false, "")
 	default:
 		c.send(v, x)
 	}
--- a/internal/console/publish_test.go
+++ b/internal/console/publish_test.go
@@ -17,7 +17,7 @@
 	return d
 }
 
-// review brings a browser to the review of a change of limits.in_flight.
+// review changes limits.in_flight and goes on to the review.
 func (b *browser) review(inFlight string) {
 	b.get("/")
 	b.post("/edit", "go", "limits")
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("publishing", func() {
-	It("publishes a change and counts the entries where it is in force", func() {
+	It("publishes a change and shows at how many entries it is in force", func() {
 		s := newSite(operatorstest.Document(2))
 		s.fake.Entry(2).Freeze(1)
 		b := s.loggedIn()
@@ -37,7 +37,7 @@
 		Expect(s.inForce().Comment).To(Equal("more room"))
 	})
 
-	It("changes nothing but what was changed", func() {
+	It("publishes only the operator's changes", func() {
 		first := operatorstest.Document(40)
 		first.Refusal.Early = false
 		s := newSite(first)
@@ -77,7 +77,7 @@
 		Expect(d.Organisations[1].Tiers).To(Equal([]string{"urgent", "rider"}))
 	})
 
-	DescribeTable("puts a tier at the position written",
+	DescribeTable("moves a tier to the position entered",
 		func(row, position string, want ...string) {
 			s := newSite(operatorstest.Document(1))
 			b := s.loggedIn()
@@ -95,10 +95,10 @@
 		Entry("by one", "r0", "2", "attendant", "rider", "office"),
 	)
 
-	// Two operators begin from the same version; the other's record comes first.
-	// This one's change must not be in force nor lost: the page shows who came
-	// first and both differences, and one button puts the change onto theirs.
-	It("tells who came first, and goes on from theirs", func() {
+	// Two operators start from the same version, and the other's record is first in
+	// the log. This operator's change must be neither in force nor lost: the page
+	// shows the other document and the differences, and a button rebases the change.
+	It("shows the document that came first, and rebases the change", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -120,9 +120,9 @@
 		Expect(s.inForce().Limits.Connections).To(Equal(77))
 	})
 
-	// Another document comes in force while the operator still edits. Waiting until
-	// the publication to say so would waste the work, so the next page says it.
-	It("tells early that a draft was overtaken", func() {
+	// Another document comes into force while the operator is editing. The next page
+	// must report it, so that the operator does not continue on an outdated base.
+	It("reports an outdated draft before publishing", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -133,10 +133,10 @@
 		Expect(b.text()).NotTo(ContainSubstring("Both changed"))
 	})
 
-	// The log is out when the operator publishes: nobody can say whether the record
-	// will land. The page says so and keeps the draft. After the outage the same
-	// page, looked at again, finds the document in force.
-	It("says that it is not known yet, and looks again", func() {
+	// The log is unavailable when the operator publishes, so it is unknown whether
+	// the record will be appended. The page must report that and keep the draft.
+	// After the outage, checking again must find the document in force.
+	It("reports that the result is not known yet, and checks again", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -151,10 +151,10 @@
 		Expect(b.text()).To(ContainSubstring("Accepted as version 2"))
 	})
 
-	// As before, but another document follows ours before the operator looks again,
-	// so that ours is no longer in force. It was accepted, and that must be said:
-	// "beaten" would make the operator publish the change a second time.
-	It("finds an accepted document that another has followed", func() {
+	// As above, but another document follows before the operator checks again, so the
+	// first is no longer in force. It must be reported as accepted: reported as
+	// superseded, the operator would publish the change a second time.
+	It("reports an accepted document that another has followed", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -167,10 +167,10 @@
 		Expect(b.text()).To(ContainSubstring("It was followed by version 3, next"))
 	})
 
-	// A publication is undecided; the operator goes back, edits and publishes again
-	// before the log is back. The first record lands and wins. Under one id for both
-	// the entry would say "accepted", and the edit would be lost without a word.
-	It("does not take an edited draft for the one that was sent", func() {
+	// A publication is undecided, and the operator edits the draft and publishes it
+	// again during the log outage. The first record is accepted. If both had the same
+	// id, the entry would report "accepted" for the edit, which would be lost silently.
+	It("distinguishes an edited draft from the published one", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -186,7 +186,7 @@
 		Expect(b.text()).To(ContainSubstring("limits.in_flight 5000 7000"))
 	})
 
-	It("says when nothing was published, and when nobody answers", func() {
+	It("reports that nothing was published, or that no entry answers", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
@@ -199,7 +199,7 @@
 		Expect(b.text()).To(ContainSubstring("no entry answers"))
 	})
 
-	It("publishes twice without harm", func() {
+	It("accepts the same draft only once", func() {
 		s := newSite(operatorstest.Document(1))
 		b := s.loggedIn()
 		b.review("5000")
--- a/internal/console/sections.go
+++ b/internal/console/sections.go
@@ -2,17 +2,17 @@
 
 import "sycamoretrail/internal/core/document"
 
-// section is a part of the document that has a page of its own.
+// section is a part of the document with its own page.
 type section struct {
 	// ID is the JSON name of the part.
 	ID, Title, Intro string
-	// One is what a record of a list is called; empty for a part that is no list.
+	// One is the term for one record of a list; empty if the part is no list.
 	One string
-	// Ordered lists show the position of each record.
+	// Ordered is true for lists that show the position of each record.
 	Ordered bool
 }
 
-// List: the part is a list of records.
+// List reports whether the part is a list of records.
 func (s section) List() bool { return s.One != "" }
 
 var sections = []section{
@@ -38,12 +38,12 @@
 	return section{}, false
 }
 
-// label is how a field is shown.
+// label describes how a field is shown.
 type label struct {
 	Text, Help string
-	// Choices offers what the field may name; nil: free text.
+	// Choices returns the allowed values; nil means free text.
 	Choices func(*document.Document) []string
-	// Lines: a list is written one item a line; else with commas.
+	// Lines is true if a list is entered one item per line instead of with commas.
 	Lines bool
 }
 
--- a/internal/console/seed_test.go
+++ b/internal/console/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // declares the flag
 )
 
-// A fixed seed, so that every run of CI tries the same cases; -rapid.seed on the
-// command line tries others.
+// init sets a fixed seed, so that every run of CI tests the same cases. Set
+// -rapid.seed on the command line to test others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
