--- a/internal/console/overview.go
+++ b/internal/console/overview.go
@@ -57,8 +57,8 @@
 // entriesData is the table of the entries.
 type entriesData struct {
 	Rows []entryRow
-	// Listed is the number of entries, Answered of those that answered, and InForce
-	// of those that have the version in force.
+	// Listed is the number of entries, Answered that of the entries that answered,
+	// and InForce that of the entries at Version or later.
 	Version                   int64
 	InForce, Answered, Listed int
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -20,10 +20,11 @@
 	return &cobra.Command{
 		Use:   "explain REQUEST-ID",
 		Short: "Show what was decided on a request, and why",
-		Long: `Asks the entry that owns the request: the part of the id before its first '.' is the entry's
-incarnation. Where that entry is not among those listed, all are asked. Entries forget a
-request after a while. Exit code 3: no entry that answers has a record of it. What an entry refuses
-before it becomes a request (an unknown key, model or tier) is only in its decision log.`,
+		Long: `Queries the entry that owns the request: the part of the id before its first '.' is the
+entry's incarnation. If that entry is not listed, all entries are queried. Entries keep
+records of requests for a limited time. Exit code 3: no entry that answers has a record of
+the request. What an entry refuses before it becomes a request (an unknown key, model or
+tier) is only in its decision log.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			client, err := a.client()
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -38,7 +38,7 @@
 		RunE:    func(_ *cobra.Command, args []string) error { return a.publish(args[0], flags) },
 	}
 	cmd.Flags().StringVar(&flags.base, "base", "", "version that the change started from: a number or current (default: the file's own base)")
-	cmd.Flags().StringVar(&flags.id, "id", "", "id of this publication, or new to draw one (default: the file's own id)")
+	cmd.Flags().StringVar(&flags.id, "id", "", "id of this publication, or new to generate one (default: the file's own id)")
 	return cmd
 }
 
