--- a/internal/console/draft.go
+++ b/internal/console/draft.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// listChanges returns the changes from base to edited as listChanges to the operator,
-// including a change of the tiers' order.
+// listChanges returns the changes from base to edited, including a change of the
+// tiers' order, for display.
 func listChanges(base, edited *document.Document) []document.Change {
 	var d draft
 	d.setChanges(base, edited)
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -146,7 +146,7 @@
 	return errors.Is(err, ErrNoAnswer)
 }
 
-// callEntry calls callEntry entry and decodes its answer.
+// callEntry calls the entry at the address and decodes its answer.
 func callEntry[T any](c *Client, address, method, path string, body []byte) (T, error) {
 	var answer T
 	status, data, err := c.call(address, method, path, body)
