--- a/internal/core/floors/floors.go
+++ b/internal/core/floors/floors.go
@@ -14,9 +14,9 @@
 // after the other scheduler serves low work again.
 //
 // Failure detection: a scheduler that did not reply within the failure-detection
-// timeout counts as having promised. This is safe because a scheduler without
-// contact to more than half of the members admits only the top tier after the
-// same timeout, by its own clock. The requester waits a margin longer, since
+// timeout counts as having promised. This is safe because a scheduler that has
+// lost contact with half or more of the members admits only the top tier after
+// the same timeout, by its own clock. The requester waits a margin longer, since
 // clocks run at different rates.
 package floors
 
@@ -103,8 +103,8 @@
 	Target string
 	Cost   int
 	// Ended reports that all schedulers have replied or timed out. InForce reports
-	// that the floor is in force: no target was named, and no scheduler has joined
-	// since the start.
+	// that the floor is in force: no target can accept the request, not even by
+	// preemption, and no scheduler has joined since the start.
 	Ended   bool
 	InForce bool
 	// Preempting reports that some schedulers are cancelling lower runs.
