--- a/internal/core/scheduler/holding.go
+++ b/internal/core/scheduler/holding.go
@@ -74,9 +74,9 @@
 	return first
 }
 
-// moreUrgent reports whether an offer takes precedence over another: if the
-// other can still be served after the given time, the offer due first, otherwise
-// the one with more time left.
+// moreUrgent reports whether an offer takes precedence over another. If both are
+// due after the given time or later, the one due first does. Otherwise there may
+// be no time left to serve one of them, and the one due later does.
 func (o *offer) moreUrgent(than *offer, after time.Time) bool {
 	if than.Due.Before(after) {
 		return o.Due.After(than.Due)
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -7,7 +7,7 @@
 //
 //   - A grant occupies its slot until Done, Withdraw or its expiry, and it
 //     expires here after it expires at the owner: the owner counts from when it
-//     sent the request, this scheduler from now. If both counted from the grant,
+//     sent the offer, this scheduler from now. If both counted from the grant,
 //     an owner that was paused could use a grant whose slot has been reassigned.
 //   - A reported run counts, whether or not it was granted here. Otherwise a
 //     report that crosses an expiry leaves the target one over its limit for good.
