--- a/internal/core/dispatch/limit.go
+++ b/internal/core/dispatch/limit.go
@@ -11,8 +11,8 @@
 	// limitTurnDelay is the delay between two entries of a cell for using the capacity under
 	// a limit: about as long as a report takes.
 	limitTurnDelay = 2 * turnDelay
-	// maxLimitDebt is the period whose requests may be overdrawn when entries have sent
-	// before they received each other's reports.
+	// maxLimitDebt bounds by how much the bucket may be overdrawn, as the time in which it
+	// refills: entries may send before they receive each other's reports.
 	maxLimitDebt = 4 * time.Second
 	// minLimit is the minimum rate, in requests a second: only an answer shows that the
 	// target no longer needs a limit.
