--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -70,8 +70,8 @@
 	fastest map[string]time.Duration
 	// resumedAt is when this process last detected that it had been paused.
 	resumedAt time.Time
-	// quorum is true while this entry is connected to most members.
-	// quorumLostAt is when it last lost them.
+	// quorum is true while this entry has contact with more than half of the
+	// known members. quorumLostAt is when it last lost the quorum.
 	quorum       bool
 	quorumLostAt time.Time
 
--- a/internal/core/entry/failures_test.go
+++ b/internal/core/entry/failures_test.go
@@ -151,8 +151,8 @@
 	ginkgo.DescribeTable("the network between two entries is partitioned", func(k kind) {
 		// Messages between entries 0 and 3 are lost in one direction or both.
 		// Neither may conclude that it is the only entry left: requests go to
-		// targets of schedulers that answer, or wait for the silence limit, and
-		// the previous state returns after the partition.
+		// targets of schedulers that answer, or wait for the failure-detection
+		// timeout, and the previous state returns after the partition.
 		w := runScript(step{0, k, 0, 3, 0, 6}, step{20, burst, 0, 0, 1, 0}, step{700, burst, 3, 3, 0, 0}, step{2800, burst, 0, 3, 0, 0})
 		for _, c := range w.calls[10:] {
 			Expect(c.seen.Status.Outcome).To(Equal(outcome.Answered))
--- a/internal/core/entry/keys.go
+++ b/internal/core/entry/keys.go
@@ -15,8 +15,9 @@
 // stream in the log.
 const partitions = 16
 
-// claimWaitFactor is how many silence limits a claim may take before the
-// request is refused. The log answers much faster when it is available.
+// claimWaitFactor is how many times the failure-detection timeout a claim may
+// take before the request is refused. The log answers much faster when it is
+// available.
 const claimWaitFactor = 2
 
 // Bounds of a coordinator. The log handles several hundred appends a second
--- a/internal/core/entry/members.go
+++ b/internal/core/entry/members.go
@@ -88,9 +88,10 @@
 	}
 }
 
-// resumed handles a pause of this process longer than the silence limit. Others
-// may have taken over its targets, so it grants nothing until it has contact
-// with its peers again and the owners have reported their runs there.
+// resumed handles a pause of this process longer than the failure-detection
+// timeout. Others may have taken over its targets, so it grants nothing until it
+// has contact with its peers again and the owners have reported their runs
+// there.
 func (e *Entry) resumed() {
 	e.resumedAt = e.now
 	e.plan.SetMembers(nil)
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -46,11 +46,10 @@
 }
 
 // waitsForQuorum reports whether to hold a request back briefly because this
-// entry has no contact with most members. After a pause or a short network
-// partition the next heartbeats restore contact. Until then every scheduler
-// that it can reach would refuse work below the top tier, and an entry that
-// sees only itself would offer to itself, where a takeover must first wait for
-// reports.
+// entry has no quorum. After a pause or a short network partition the next
+// heartbeats restore it. Until then every scheduler that it can reach would
+// refuse work below the top tier, and an entry that sees only itself would offer
+// to itself, where a takeover must first wait for reports.
 func (e *Entry) waitsForQuorum(f *flight) bool {
 	if e.quorum || e.cfg.Policy != PolicyScheduler || f.req.Tier == 0 && len(e.members.Live()) > 1 {
 		return false
@@ -94,7 +93,7 @@
 
 // poolMayRecover reports whether to wait for a pool that has no available
 // target: a change of schedulers or a failed probe often passes within the
-// silence limit.
+// failure-detection timeout.
 func (e *Entry) poolMayRecover(f *flight) bool {
 	return e.now.Sub(f.req.Arrived) < e.timing.silence
 }
--- a/internal/core/entry/world_test.go
+++ b/internal/core/entry/world_test.go
@@ -326,8 +326,8 @@
 }
 
 // recoveryTime is how long the floors need after entries have lost contact: the
-// silence limit, a takeover, and a floor that the previous scheduler had
-// promised.
+// failure-detection timeout, a takeover, and a floor that the previous scheduler
+// had promised.
 const recoveryTime = 1500 * time.Millisecond
 
 // wasDisconnected reports whether a request was refused while entries had no
