--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -38,9 +38,9 @@
 }
 
 var _ = Describe("Queue", func() {
-	// One organisation sends 50 times as many requests as each other; another's
-	// requests are five times as large. Each receives the same number of tokens while all
-	// have waiting work.
+	// One organisation sends 50 times as many requests as either of the other two,
+	// and the requests of one of these are five times as large. Each receives the
+	// same number of tokens while all have waiting work.
 	It("shares tokens, not requests, fairly under a flood", func() {
 		q := New(nil)
 		for i := range 1000 {
