--- a/internal/core/dispatch/limit_fleet_test.go
+++ b/internal/core/dispatch/limit_fleet_test.go
@@ -24,8 +24,8 @@
 	// limited is the number of targets that declare limit.
 	limited int
 	limit   float64
-	// grace is the time from the first declaration until the limit binds: windows that end
-	// later are checked completely.
+	// grace is the time from the first declaration until the limit binds: a window that ends
+	// later is checked with all its requests, including those sent before.
 	grace time.Duration
 	// loss is the share of reports between entries that is lost.
 	loss float64
