--- a/internal/standin/enginemodel/cache.go
+++ b/internal/standin/enginemodel/cache.go
@@ -6,7 +6,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// prefixCache keeps block hashes, least recently used dropped first.
+// prefixCache is an LRU cache of block hashes.
 type prefixCache struct {
 	limit  int // blocks
 	recent *list.List
@@ -21,8 +21,9 @@
 	}
 }
 
-// match counts the leading blocks that are cached and marks them as used. The
-// shortest prefix is marked last, so that a prefix outlives what builds on it.
+// match returns the number of leading blocks that are cached and marks them as
+// used. The shortest prefix is marked last, so that a prefix is evicted after
+// the longer prefixes that extend it.
 func (c *prefixCache) match(prefixes []uint64) int {
 	n := 0
 	for n < len(prefixes) && c.blocks[prefixes[n]] != nil {
@@ -34,7 +35,8 @@
 	return n
 }
 
-// add keeps a block; it returns whether it was new, and the block that had to go.
+// add caches a block. It reports whether the block was new, and which block was
+// evicted to make space for it, if any.
 func (c *prefixCache) add(hash uint64) (added bool, dropped uint64, evicted bool) {
 	if c.limit == 0 {
 		return false, 0, false
--- a/internal/standin/enginemodel/model.go
+++ b/internal/standin/enginemodel/model.go
@@ -1,9 +1,11 @@
-// Package enginemodel models an engine that batches continuously: no I/O, no
-// clock, no goroutine. Time comes in as arguments, events go out, and equal
-// calls give equal events. The live stand-in and the virtual replay share it.
+// Package enginemodel simulates an engine with continuous batching. It performs
+// no I/O, reads no clock and starts no goroutines: times are arguments, events
+// are results, and equal calls return equal events. It is used by the live
+// stand-in and by the virtual replay.
 //
-// A step serves all running sequences: those whose prompt is computed gain one
-// token, the others share the prefill chunk in order of arrival. It lasts
+// A step serves all running sequences: each one whose prompt is computed
+// generates one token, the others share the prefill chunk in order of arrival.
+// The duration of a step is
 //
 //	straggle * (StepBase + StepPerSequence*decoding + prefill/PrefillRate)
 package enginemodel
@@ -17,12 +19,12 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Reasons for which Submit takes nothing.
+// Errors returned by Submit when it rejects a job.
 var (
 	ErrFull     = errors.New("engine is full")
 	ErrLeaving  = errors.New("engine is leaving")
 	ErrTooLarge = errors.New("job exceeds the engine's KV capacity")
-	ErrRunning  = errors.New("a job of this id is held already")
+	ErrRunning  = errors.New("a job with this id already exists")
 )
 
 // Job is one stream to generate.
@@ -30,15 +32,15 @@
 	ID           string
 	PromptTokens int
 	MaxTokens    int
-	// Prefixes are as in request.Request.
+	// Prefixes has the same meaning as in request.Request.
 	Prefixes []uint64
-	// HeldPrompt are prompt tokens that came with an imported KV cache.
+	// HeldPrompt is the number of prompt tokens in an imported KV cache.
 	HeldPrompt int
-	// FirstIndex is the token to go on from after such an import.
+	// FirstIndex is the index of the first token to generate after an import.
 	FirstIndex int
 }
 
-// Usage is what a job has cost, in tokens.
+// Usage is the resource usage of a job, in tokens.
 type Usage struct {
 	Prompt         int
 	Cached         int
@@ -46,21 +48,21 @@
 	Tokens         int
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
-	// Token: ID gained the token Index; Cached is set with the first one.
+	// Token: the job ID generated the token Index. Cached is set on its first event.
 	Token EventKind = iota
-	// Finished: ID has all its tokens; Usage is set.
+	// Finished: the job ID has generated all its tokens. Usage is set.
 	Finished
-	// CacheAdded: the block Hash entered the prefix cache.
+	// CacheAdded: the block Hash was added to the prefix cache.
 	CacheAdded
-	// CacheDropped: the block Hash left the prefix cache.
+	// CacheDropped: the block Hash was evicted from the prefix cache.
 	CacheDropped
 )
 
-// Event is one thing that happened at the end of a step.
+// Event describes one effect of a completed step.
 type Event struct {
 	Kind   EventKind
 	At     time.Time
@@ -71,39 +73,39 @@
 	Hash   uint64
 }
 
-// Lost is a job that a crash ended.
+// Lost is a job that was terminated by a crash.
 type Lost struct {
 	ID    string
 	Usage Usage
 }
 
-// Load counts what the engine holds.
+// Load is the number of jobs and KV tokens in the engine.
 type Load struct {
 	Running  int
 	Waiting  int
 	KVTokens int
 }
 
-// Model is one engine. It is not safe for concurrent use.
+// Model simulates one engine. It is not safe for concurrent use.
 type Model struct {
 	params   Params
 	straggle float64
 	leaving  bool
 	waiting  []*sequence
 	running  []*sequence
-	reserved int // KV tokens that the running may come to hold
+	reserved int // KV tokens reserved by running sequences
 	cache    *prefixCache
 	stepping bool
 	stepEnd  time.Time
 }
 
-// New returns an idle engine; the parameters must be valid.
+// New returns an idle engine. The parameters must be valid.
 func New(p Params) *Model {
 	return &Model{params: p, straggle: 1, cache: newPrefixCache(p.CacheTokens)}
 }
 
-// SetStraggle multiplies the time of the steps that start from now on; values
-// that are not positive mean 1.
+// SetStraggle sets the factor by which the duration of subsequent steps is
+// multiplied. Values that are not positive mean 1.
 func (m *Model) SetStraggle(factor float64) {
 	if factor <= 0 {
 		factor = 1
@@ -111,11 +113,11 @@
 	m.straggle = factor
 }
 
-// SetLeaving makes Submit take nothing more; what is held goes on.
+// SetLeaving makes Submit reject new jobs. Jobs already submitted continue.
 func (m *Model) SetLeaving(leaving bool) { m.leaving = leaving }
 
-// Submit queues a job. Call Advance(now) before, so that now is not in the past
-// of the engine.
+// Submit queues a job. Advance(now) must be called first, so that now is not
+// earlier than the model's time.
 func (m *Model) Submit(now time.Time, job Job) error {
 	if m.leaving {
 		return ErrLeaving
@@ -137,8 +139,9 @@
 	return nil
 }
 
-// Cancel ends a job and tells what it has cost; false when it is not held. The
-// step that is under way keeps its length, and its prefill counts as computed.
+// Cancel removes a job and returns its usage, or false if there is no such job.
+// The duration of the current step does not change, and its prefill counts as
+// computed.
 func (m *Model) Cancel(_ time.Time, id string) (Usage, bool) {
 	if i := find(m.waiting, id); i >= 0 {
 		usage := m.waiting[i].usage()
@@ -155,7 +158,7 @@
 	return seq.usage(), true
 }
 
-// Progress tells what a job has cost so far; false when it is not held.
+// Progress returns the usage of a job so far, or false if there is no such job.
 func (m *Model) Progress(id string) (Usage, bool) {
 	if i := find(m.running, id); i >= 0 {
 		return m.running[i].usage(), true
@@ -166,10 +169,10 @@
 	return Usage{}, false
 }
 
-// Next tells when the step under way ends; false when the engine is idle.
+// Next returns the end of the current step, or false if the engine is idle.
 func (m *Model) Next() (time.Time, bool) { return m.stepEnd, m.stepping }
 
-// Advance ends every step that is due by now and returns what happened, in order.
+// Advance completes every step that ends by now and returns the events in order.
 func (m *Model) Advance(now time.Time) []Event {
 	var events []Event
 	for m.stepping && !m.stepEnd.After(now) {
@@ -180,7 +183,7 @@
 	return events
 }
 
-// Load counts what is held now.
+// Load returns the current load.
 func (m *Model) Load() Load {
 	load := Load{Running: len(m.running), Waiting: len(m.waiting)}
 	for _, seq := range m.running {
@@ -189,8 +192,9 @@
 	return load
 }
 
-// Reset forgets everything, as a crash does, and returns what was lost, oldest
-// first. Straggle factor and leaving stay: they belong to the machine.
+// Reset discards all jobs and the cache, as a crash does, and returns the lost
+// jobs, oldest first. The straggle factor and the leaving state are kept because
+// they are properties of the machine.
 func (m *Model) Reset() []Lost {
 	var lost []Lost
 	for _, seq := range append(m.running, m.waiting...) {
@@ -222,7 +226,7 @@
 	m.stepping = true
 }
 
-// admit moves waiting jobs into the batch, in order of arrival.
+// admit moves waiting jobs to the batch in order of arrival.
 func (m *Model) admit(at time.Time) {
 	for len(m.waiting) > 0 && len(m.running) < m.params.MaxBatch {
 		seq := m.waiting[0]
@@ -232,12 +236,12 @@
 		m.waiting = m.waiting[1:]
 		m.reserved += seq.reservation()
 		seq.blocks = m.cache.match(seq.job.Prefixes)
-		seq.reuse(seq.blocks * request.PrefixBlockTokens)
+		seq.countCached(seq.blocks * request.PrefixBlockTokens)
 		m.running = append(m.running, seq)
 	}
 }
 
-// plan gives every sequence its part of the step.
+// plan assigns the work of the step to the sequences.
 func (m *Model) plan() (decoding, prefill int) {
 	budget := m.params.PrefillChunk
 	for _, seq := range m.running {
@@ -245,7 +249,7 @@
 		seq.chunk = min(missing, budget)
 		budget -= seq.chunk
 		prefill += seq.chunk
-		seq.yields = seq.chunk == missing
+		seq.generates = seq.chunk == missing
 		if missing == 0 {
 			decoding++
 		}
@@ -274,7 +278,7 @@
 	seq.computed += seq.chunk
 	seq.chunk = 0
 	events = m.cacheBlocks(at, seq, events)
-	if !seq.yields {
+	if !seq.generates {
 		return events
 	}
 	token := Event{Kind: Token, At: at, ID: seq.job.ID, Index: seq.tokens}
@@ -282,17 +286,17 @@
 		token.Cached = seq.cached
 	}
 	seq.tokens++
-	seq.yields = false
+	seq.generates = false
 	return append(events, token)
 }
 
-// cacheBlocks puts the blocks that are now computed into the prefix cache.
+// cacheBlocks adds newly computed blocks to the prefix cache.
 func (m *Model) cacheBlocks(at time.Time, seq *sequence, events []Event) []Event {
-	whole := min((seq.cached+seq.computed)/request.PrefixBlockTokens, len(seq.job.Prefixes))
-	if seq.blocks >= whole {
+	complete := min((seq.cached+seq.computed)/request.PrefixBlockTokens, len(seq.job.Prefixes))
+	if seq.blocks >= complete {
 		return events
 	}
-	for ; seq.blocks < whole; seq.blocks++ {
+	for ; seq.blocks < complete; seq.blocks++ {
 		hash := seq.job.Prefixes[seq.blocks]
 		added, dropped, evicted := m.cache.add(hash)
 		if evicted {
@@ -302,6 +306,6 @@
 			events = append(events, Event{Kind: CacheAdded, At: at, Hash: hash})
 		}
 	}
-	m.cache.match(seq.job.Prefixes[:whole])
+	m.cache.match(seq.job.Prefixes[:complete])
 	return events
 }
--- a/internal/standin/enginemodel/model_test.go
+++ b/internal/standin/enginemodel/model_test.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// prefixes are n made-up hashes; prompts of one family share their beginning.
+// prefixes returns n artificial hashes. Prompts of one family share a prefix.
 func prefixes(family uint64, n int) []uint64 {
 	var hashes []uint64
 	for i := range n {
@@ -45,7 +45,7 @@
 	return events
 }
 
-func of(events []Event, kind EventKind, id string) []Event {
+func eventsOf(events []Event, kind EventKind, id string) []Event {
 	var found []Event
 	for _, e := range events {
 		if e.Kind == kind && e.ID == id {
@@ -56,31 +56,31 @@
 }
 
 var _ = Describe("steps", func() {
-	It("join what arrives to the next step, and cost base, sequences and prefill", func() {
+	It("include new jobs in the next step, with a duration of base, sequences and prefill", func() {
 		m := New(Newer())
 		Expect(m.Submit(start, Job{ID: "a", PromptTokens: 8, MaxTokens: 3})).To(Succeed())
 		Expect(stepLength(m, start)).To(Equal(13 * ms))
 		Expect(m.Submit(start.Add(5*ms), Job{ID: "b", PromptTokens: 16, MaxTokens: 1})).To(Succeed())
 		second := start.Add(13 * ms)
-		Expect(of(m.Advance(second), Token, "a")).To(HaveLen(1))
+		Expect(eventsOf(m.Advance(second), Token, "a")).To(HaveLen(1))
 		Expect(stepLength(m, second)).To(Equal(12*ms + 250*time.Microsecond + 2*ms))
 		Expect(m.Load()).To(Equal(Load{Running: 2, KVTokens: 8 + 1}))
 	})
 
-	It("bound the prefill of a step, so that a long prompt does not stop the others", func() {
+	It("bound the prefill of a step, so that a long prompt does not block other jobs", func() {
 		m := New(Newer())
 		Expect(m.Submit(start, Job{ID: "short", PromptTokens: 8, MaxTokens: 10})).To(Succeed())
 		m.Advance(start.Add(13 * ms))
 		Expect(m.Submit(start.Add(14*ms), Job{ID: "long", PromptTokens: 1200, MaxTokens: 1})).To(Succeed())
 		events := drain(m)
-		first := of(events, Token, "long")[0].At
+		first := eventsOf(events, Token, "long")[0].At
 		var before int
-		for _, e := range of(events, Token, "short") {
+		for _, e := range eventsOf(events, Token, "short") {
 			if e.At.Before(first) {
 				before++
 			}
 		}
-		// One step was under way, and 512+512 prompt tokens take two more.
+		// One step was in progress, and 512+512 prompt tokens take two more.
 		Expect(before).To(Equal(3))
 	})
 
@@ -96,7 +96,7 @@
 })
 
 var _ = Describe("admission", func() {
-	It("is in order of arrival and refuses beyond batch and queue", func() {
+	It("is in order of arrival and rejects jobs beyond batch and queue", func() {
 		p := Newer()
 		p.MaxBatch, p.MaxWaiting = 1, 1
 		m := New(p)
@@ -105,11 +105,11 @@
 		Expect(m.Submit(start, Job{ID: "c", PromptTokens: 8, MaxTokens: 1})).To(MatchError(ErrFull))
 		Expect(m.Submit(start, Job{ID: "a", PromptTokens: 8, MaxTokens: 1})).To(MatchError(ErrRunning))
 		events := drain(m)
-		Expect(of(events, Finished, "a")[0].At).To(BeTemporally("<", of(events, Finished, "b")[0].At))
-		Expect(of(events, Token, "c")).To(BeEmpty())
+		Expect(eventsOf(events, Finished, "a")[0].At).To(BeTemporally("<", eventsOf(events, Finished, "b")[0].At))
+		Expect(eventsOf(events, Token, "c")).To(BeEmpty())
 	})
 
-	It("keeps a job waiting while the KV cache has no room, and refuses what never fits", func() {
+	It("keeps a job waiting while the KV cache is full, and rejects a job that exceeds it", func() {
 		p := Newer()
 		p.KVTokens = 100
 		m := New(p)
@@ -117,15 +117,15 @@
 		Expect(m.Submit(start, Job{ID: "b", PromptTokens: 50, MaxTokens: 10})).To(Succeed())
 		Expect(m.Submit(start, Job{ID: "c", PromptTokens: 95, MaxTokens: 10})).To(MatchError(ErrTooLarge))
 		events := drain(m)
-		Expect(of(events, Token, "b")[0].At).To(BeTemporally(">", of(events, Finished, "a")[0].At))
+		Expect(eventsOf(events, Token, "b")[0].At).To(BeTemporally(">", eventsOf(events, Finished, "a")[0].At))
 	})
 
-	It("takes nothing while leaving, and finishes what it has", func() {
+	It("rejects new jobs while leaving, and finishes submitted ones", func() {
 		m := New(Newer())
 		Expect(m.Submit(start, Job{ID: "a", PromptTokens: 8, MaxTokens: 2})).To(Succeed())
 		m.SetLeaving(true)
 		Expect(m.Submit(start, Job{ID: "b", PromptTokens: 8, MaxTokens: 2})).To(MatchError(ErrLeaving))
-		Expect(of(drain(m), Finished, "a")).To(HaveLen(1))
+		Expect(eventsOf(drain(m), Finished, "a")).To(HaveLen(1))
 	})
 })
 
@@ -137,24 +137,24 @@
 		return drain(m)
 	}
 
-	It("spares the leading blocks that were computed before", func() {
+	It("avoids recomputing leading blocks", func() {
 		m := New(Newer())
 		cold := run(m, "cold", prefixes(1, 3), 3*block+10)
-		Expect(of(cold, Finished, "cold")[0].Usage).To(Equal(Usage{Prompt: 394, ComputedPrompt: 394, Tokens: 1}))
-		Expect(of(cold, CacheAdded, "")).To(HaveLen(3))
+		Expect(eventsOf(cold, Finished, "cold")[0].Usage).To(Equal(Usage{Prompt: 394, ComputedPrompt: 394, Tokens: 1}))
+		Expect(eventsOf(cold, CacheAdded, "")).To(HaveLen(3))
 		warm := run(m, "warm", append(prefixes(1, 2), 99), 3*block)
-		Expect(of(warm, Token, "warm")[0].Cached).To(Equal(2 * block))
-		Expect(of(warm, Finished, "warm")[0].Usage.ComputedPrompt).To(Equal(block))
+		Expect(eventsOf(warm, Token, "warm")[0].Cached).To(Equal(2 * block))
+		Expect(eventsOf(warm, Finished, "warm")[0].Usage.ComputedPrompt).To(Equal(block))
 	})
 
-	It("computes at least one token of a prompt that is cached whole", func() {
+	It("computes at least one token of a fully cached prompt", func() {
 		m := New(Newer())
 		run(m, "cold", prefixes(1, 2), 2*block)
 		warm := run(m, "warm", prefixes(1, 2), 2*block)
-		Expect(of(warm, Finished, "warm")[0].Usage.ComputedPrompt).To(Equal(1))
+		Expect(eventsOf(warm, Finished, "warm")[0].Usage.ComputedPrompt).To(Equal(1))
 	})
 
-	It("drops the least recently used block first, and says so", func() {
+	It("evicts the least recently used block first and reports it", func() {
 		p := Newer()
 		p.CacheTokens = 3 * block
 		m := New(p)
@@ -162,11 +162,11 @@
 		run(m, "b", prefixes(2, 1), block)
 		run(m, "a again", prefixes(1, 2), 2*block)
 		events := run(m, "c", prefixes(3, 1), block)
-		Expect(of(events, CacheDropped, "")).To(HaveLen(1))
-		Expect(of(events, CacheDropped, "")[0].Hash).To(Equal(prefixes(2, 1)[0]))
+		Expect(eventsOf(events, CacheDropped, "")).To(HaveLen(1))
+		Expect(eventsOf(events, CacheDropped, "")[0].Hash).To(Equal(prefixes(2, 1)[0]))
 	})
 
-	It("keeps a prefix longer than what builds on it", func() {
+	It("keeps a prefix longer than the prefixes that extend it", func() {
 		for _, again := range []bool{false, true} {
 			p := Newer()
 			p.CacheTokens = 3 * block
@@ -177,16 +177,16 @@
 			}
 			run(m, "b", prefixes(2, 1), block)
 			events := run(m, "c", prefixes(3, 1), block)
-			Expect(of(events, CacheDropped, "")[0].Hash).To(Equal(prefixes(1, 2)[1]))
+			Expect(eventsOf(events, CacheDropped, "")[0].Hash).To(Equal(prefixes(1, 2)[1]))
 		}
 	})
 })
 
 var _ = Describe("losing work", func() {
-	// The caller has gone away and its stream is cancelled while its second
-	// chunk of prompt is under way. Both chunks were computed in vain, so both
-	// must be told; the stream beside it must not notice.
-	It("tells what a cancelled stream has cost", func() {
+	// The caller disconnects and its stream is cancelled while the second prompt
+	// chunk is being computed. Both chunks must be reported as computed, and the
+	// concurrent stream must not be affected.
+	It("reports the usage of a cancelled stream", func() {
 		m := New(Newer())
 		Expect(m.Submit(start, Job{ID: "a", PromptTokens: 2000, MaxTokens: 5})).To(Succeed())
 		Expect(m.Submit(start, Job{ID: "b", PromptTokens: 8, MaxTokens: 5})).To(Succeed())
@@ -198,15 +198,15 @@
 		_, held = m.Cancel(next.Add(ms), "a")
 		Expect(held).To(BeFalse())
 		events := drain(m)
-		Expect(of(events, Token, "a")).To(BeEmpty())
-		Expect(of(events, Token, "b")).To(HaveLen(5))
+		Expect(eventsOf(events, Token, "a")).To(BeEmpty())
+		Expect(eventsOf(events, Token, "b")).To(HaveLen(5))
 		Expect(m.Load()).To(Equal(Load{}))
 	})
 
-	// The engine dies with one stream half computed and one waiting. Its callers
-	// see nothing more; what was computed is lost, also from the prefix cache,
-	// so that the same prompt costs everything again.
-	It("loses all in a crash", func() {
+	// The engine crashes with one stream partly computed and one waiting. All
+	// computed tokens are lost, also from the prefix cache, so that the same
+	// prompt is computed in full again.
+	It("loses all jobs and the cache in a crash", func() {
 		p := Newer()
 		p.MaxBatch = 1
 		m := New(p)
@@ -222,22 +222,22 @@
 		_, stepping := m.Next()
 		Expect(stepping).To(BeFalse())
 		Expect(m.Submit(next, Job{ID: "a", PromptTokens: 1024, MaxTokens: 1, Prefixes: hashes})).To(Succeed())
-		Expect(of(drain(m), Finished, "a")[0].Usage.Cached).To(BeZero())
+		Expect(eventsOf(drain(m), Finished, "a")[0].Usage.Cached).To(BeZero())
 	})
 
-	It("goes on behind an imported KV cache without computing the prompt", func() {
+	It("continues from an imported KV cache without computing the prompt", func() {
 		m := New(Newer())
 		job := Job{ID: "a", PromptTokens: 1000, MaxTokens: 5, HeldPrompt: 1000, FirstIndex: 3}
 		Expect(m.Submit(start, job)).To(Succeed())
 		events := drain(m)
-		Expect(of(events, Token, "a")).To(HaveLen(2))
-		Expect(of(events, Token, "a")[0].Index).To(Equal(3))
-		Expect(of(events, Finished, "a")[0].Usage).To(Equal(Usage{Prompt: 1000, Cached: 1000, Tokens: 5}))
+		Expect(eventsOf(events, Token, "a")).To(HaveLen(2))
+		Expect(eventsOf(events, Token, "a")[0].Index).To(Equal(3))
+		Expect(eventsOf(events, Finished, "a")[0].Usage).To(Equal(Usage{Prompt: 1000, Cached: 1000, Tokens: 5}))
 	})
 })
 
 var _ = Describe("any order of jobs", func() {
-	It("gives every job that is not cancelled all its tokens, within the bounds, alike each time", func() {
+	It("generates all tokens of every job within the bounds, and is deterministic", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			p := Newer()
 			p.MaxBatch = rapid.IntRange(1, 4).Draw(t, "batch")
@@ -266,7 +266,7 @@
 					t.Fatalf("over the bounds: %+v", first.Load())
 				}
 			}
-			checkWhole(t, append(events, drain(first)...), taken)
+			checkComplete(t, append(events, drain(first)...), taken)
 		})
 	})
 })
@@ -281,7 +281,7 @@
 	}
 }
 
-func checkWhole(t *rapid.T, events []Event, taken map[string]Job) {
+func checkComplete(t *rapid.T, events []Event, taken map[string]Job) {
 	tokens := make(map[string]int)
 	finished := 0
 	for _, e := range events {
--- a/internal/standin/enginemodel/params.go
+++ b/internal/standin/enginemodel/params.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Params are the properties of an engine.
+// Params configures an engine.
 type Params struct {
-	// PrefillRate is in prompt tokens a second.
+	// PrefillRate is the prefill throughput in prompt tokens per second.
 	PrefillRate float64
-	// StepBase and StepPerSequence give the time of a step without prefill.
+	// StepBase and StepPerSequence determine the duration of a step without
+	// prefill.
 	StepBase        time.Duration
 	StepPerSequence time.Duration
-	// MaxBatch bounds the sequences in a step.
+	// MaxBatch bounds the number of sequences in a step.
 	MaxBatch int
-	// MaxWaiting bounds the jobs beyond MaxBatch.
+	// MaxWaiting bounds the number of jobs accepted beyond MaxBatch.
 	MaxWaiting int
-	// KVTokens bounds the tokens that admitted sequences may come to hold.
+	// KVTokens bounds the tokens reserved in the KV cache by admitted sequences.
 	KVTokens int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens bounds the prefix cache, in tokens.
 	CacheTokens int
 	// PrefillChunk bounds the prompt tokens computed in one step.
 	PrefillChunk int
 }
 
-// Newer is the faster generation of engines.
+// Newer returns the parameters of the faster engine generation.
 func Newer() Params {
 	return Params{
 		PrefillRate:     8000,
@@ -38,7 +39,7 @@
 	}
 }
 
-// Older is the slower generation of engines.
+// Older returns the parameters of the slower engine generation.
 func Older() Params {
 	p := Newer()
 	p.PrefillRate = 4000
@@ -50,7 +51,7 @@
 	return p
 }
 
-// Validate lists every fault of the parameters, joined; nil when there is none.
+// Validate returns all errors in the parameters, joined, or nil if there are none.
 func (p Params) Validate() error {
 	var faults []error
 	check := func(ok bool, fault string) {
--- a/internal/standin/enginemodel/sequence.go
+++ b/internal/standin/enginemodel/sequence.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// sequence is a job in the engine.
+// sequence is the state of a job in the engine.
 type sequence struct {
 	job       Job
 	submitted time.Time
-	cached    int  // prompt tokens that needed no computing
+	cached    int  // prompt tokens taken from the prefix cache or an import
 	computed  int  // prompt tokens computed
-	chunk     int  // prompt tokens computed in the step under way
-	yields    bool // the step under way gives a token
-	blocks    int  // prefixes that the cache has or was offered
-	tokens    int  // tokens that exist
+	chunk     int  // prompt tokens computed in the current step
+	generates    bool // the current step generates a token
+	blocks    int  // leading prefix blocks already cached or passed to the cache
+	tokens    int  // tokens generated, including those before an import
 }
 
 func newSequence(now time.Time, job Job) *sequence {
@@ -22,13 +22,13 @@
 	job.MaxTokens = max(job.MaxTokens, 1)
 	job.FirstIndex = min(max(job.FirstIndex, 0), job.MaxTokens-1)
 	seq := &sequence{job: job, submitted: now, tokens: job.FirstIndex}
-	seq.reuse(job.HeldPrompt)
+	seq.countCached(job.HeldPrompt)
 	return seq
 }
 
-// reuse takes over prompt tokens that are there already. At least one token
-// must be computed to yield the first token of an answer.
-func (s *sequence) reuse(tokens int) {
+// countCached counts prompt tokens as cached. Generating the first token of an answer
+// requires that at least one prompt token is computed.
+func (s *sequence) countCached(tokens int) {
 	limit := s.job.PromptTokens
 	if s.job.FirstIndex == 0 {
 		limit--
@@ -36,10 +36,10 @@
 	s.cached = max(s.cached, min(tokens, limit))
 }
 
-// reservation is what the sequence may come to hold, in KV tokens.
+// reservation returns the maximum number of KV tokens the sequence can occupy.
 func (s *sequence) reservation() int { return s.job.PromptTokens + s.job.MaxTokens }
 
-// missing are the prompt tokens still to compute.
+// missing returns the number of prompt tokens still to be computed.
 func (s *sequence) missing() int { return s.job.PromptTokens - s.cached - s.computed }
 
 func (s *sequence) usage() Usage {
