--- a/internal/standin/engine/cachelog.go
+++ b/internal/standin/engine/cachelog.go
@@ -31,7 +31,7 @@
 	Events []cacheEvent `json:"events"`
 }
 
-// cacheLog keeps the last events, numbered from 1.
+// cacheLog keeps the most recent events, numbered from 1.
 type cacheLog struct {
 	next   uint64
 	events []cacheEvent
@@ -47,8 +47,8 @@
 	}
 }
 
-// read returns the events from a number on that are old enough to be published.
-// An event in a gap is passed over for good.
+// read returns the events with sequence numbers of at least from that are old
+// enough to be published. Events in a gap are never published.
 func (l *cacheLog) read(from uint64, now time.Time, f base.Faults) cacheEvents {
 	answer := cacheEvents{Next: min(max(from, 1), l.next), Events: []cacheEvent{}}
 	published := now.Add(-f.Lag())
@@ -67,7 +67,8 @@
 	return answer
 }
 
-// inGap draws by a hash of the event, so that each reader has the same gaps.
+// inGap selects a share of the events by a hash, so that all readers have the
+// same gaps.
 func inGap(event cacheEvent, share float64) bool {
 	var bytes [16]byte
 	for i := range 8 {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "engine")
 }
 
-// endless is more tokens than any test waits for.
+// endless is a token limit that no test reaches.
 const endless = 100_000
 
 func startEngine(p Params) *Server {
@@ -32,7 +32,7 @@
 	return s
 }
 
-// call uses a connection of its own, so that a crash is seen by nobody else.
+// call uses a separate connection, so that a crash affects no other call.
 func call(s *Server, method, path, id, body string) (*http.Response, error) {
 	request, err := http.NewRequest(method, "http://"+s.Address()+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -64,7 +64,7 @@
 	return text.String()
 }
 
-// textOf checks that events are numbered from a token on and joins their texts.
+// textOf checks the number of the first event and joins the texts of all events.
 func textOf(events string, from int) string {
 	var text strings.Builder
 	for _, line := range strings.Split(events, "\n") {
@@ -82,7 +82,7 @@
 	return text.String()
 }
 
-// openStream starts a stream that does not end and waits for its first token.
+// openStream starts a stream and waits for its first token.
 func openStream(s *Server, id, body string) *bufio.Reader {
 	response, err := call(s, http.MethodPost, pathText, id, body)
 	Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 }
 
 var _ = Describe("answers", func() {
-	It("are a function of id and body, streamed or whole, on any engine", func() {
+	It("depend only on id and body, streamed or complete, on any engine", func() {
 		s, other := startEngine(Params{}), startEngine(Params{Generation: GenerationOlder})
 		_, streamed := read(s, http.MethodPost, pathText, "id-1", body(true, 5))
 		Expect(textOf(streamed, 0)).To(Equal(answerOf("id-1", body(true, 5), 5)))
@@ -102,15 +102,15 @@
 		Expect(streamed).To(ContainSubstring(`"prompt_tokens":6,"completion_tokens":5`))
 		_, again := read(other, http.MethodPost, pathText, "id-1", body(true, 5))
 		Expect(textOf(again, 0)).To(Equal(textOf(streamed, 0)))
-		_, whole := read(s, http.MethodPost, pathChat, "id-2", body(false, 5))
+		_, complete := read(s, http.MethodPost, pathChat, "id-2", body(false, 5))
 		var answer completionJSON
-		Expect(json.Unmarshal([]byte(whole), &answer)).To(Succeed())
+		Expect(json.Unmarshal([]byte(complete), &answer)).To(Succeed())
 		Expect(answer.Choices[0].Message.Content).To(Equal(answerOf("id-2", body(false, 5), 5)))
 		Expect(answer.Usage.CompletionTokens).To(Equal(5))
 	})
 
 	// The connection to the engine breaks after the first token. The stream
-	// goes on there; whoever reads it again gets the same bytes, from any token.
+	// continues, and reading it again returns the same bytes from any token on.
 	It("are the same bytes when read again", func() {
 		s := startEngine(Params{})
 		response, err := call(s, http.MethodPost, pathText, "id-1", body(true, 6))
@@ -126,7 +126,7 @@
 		Expect(s.Ledger().Report().Runs).To(HaveLen(1))
 	})
 
-	It("can be cancelled, and tell what that cost", func() {
+	It("can be cancelled and report their usage", func() {
 		s := startEngine(Params{})
 		openStream(s, "id-1", body(true, endless))
 		status, answer := read(s, http.MethodDelete, "/streams/id-1", "", "")
@@ -141,8 +141,8 @@
 	})
 })
 
-var _ = Describe("not admitted", func() {
-	It("says why, and runs nothing", func() {
+var _ = Describe("rejected requests", func() {
+	It("receive the reason and are not run", func() {
 		s := startEngine(Params{MaxBatch: 1, MaxWaiting: 1})
 		reason := func() string {
 			response, err := call(s, http.MethodPost, pathText, "id", body(false, 1))
@@ -169,9 +169,9 @@
 })
 
 var _ = Describe("a crash", func() {
-	// The engine dies in the middle of a stream. Its reader sees the connection
-	// end without the end mark; connections are refused until the restart, and
-	// the new process knows nothing. Only the ledger remembers, for the tester.
+	// The engine crashes during a stream. The connection of the reader closes
+	// without the end marker, connections are refused until the restart, and the
+	// new process has no state. Only the ledger is kept, for tests.
 	It("drops connections and state until the restart, but not the ledger", func() {
 		s := startEngine(Params{})
 		reader := openStream(s, "id-1", body(true, endless))
@@ -196,9 +196,9 @@
 		Expect(report.Runs[0].ComputedPromptTokens).To(Equal(6))
 	})
 
-	// One request kills the engine that runs it. Its caller and the one beside
-	// it see their connections end; both runs are in the ledger, incomplete.
-	It("comes with the first token of the body that it waits for", func() {
+	// A crashing request runs beside another one. The connections of both callers
+	// close, and both runs are in the ledger as incomplete.
+	It("occurs at the first token of a request whose body contains CrashOn", func() {
 		s := startEngine(Params{})
 		Expect(s.Apply(base.Faults{CrashOn: "poison"})).To(Succeed())
 		reader := openStream(s, "beside", body(true, endless))
@@ -219,44 +219,44 @@
 		status, _ := read(s, http.MethodPost, "/orders", "", order)
 		return status
 	}
-	held := func(s *Server) loadReport {
+	loaded := func(s *Server) loadReport {
 		_, answer := read(s, http.MethodGet, "/load", "", "")
 		var report loadReport
 		Expect(json.Unmarshal([]byte(answer), &report)).To(Succeed())
 		return report
 	}
 
-	// A holder that was paused sends an order older than the one in force. An
-	// engine that checks refuses it; one that ignores the number obeys, and only
-	// reading back shows that the older order won.
-	It("with an old fencing number are refused where the engine checks", func() {
+	// A lease holder that was paused sends an order older than the one in force.
+	// An engine that checks fencing numbers rejects it. An engine that does not
+	// check applies it, which is visible only by reading the state back.
+	It("with an old fencing number are rejected if the engine checks", func() {
 		for _, checks := range []bool{true, false} {
 			s := startEngine(Params{Common: base.Common{Faults: base.Faults{CheckFencing: checks}}})
 			Expect(send(s, `{"fencing":5,"model":"m","version":"2","role":"both"}`)).To(Equal(http.StatusOK))
 			status := send(s, `{"fencing":4,"model":"m","version":"1","role":"both"}`)
 			if checks {
 				Expect(status).To(Equal(http.StatusConflict))
-				Expect(held(s).Version).To(Equal("2"))
-				Expect(held(s).Fencing).To(BeEquivalentTo(5))
+				Expect(loaded(s).Version).To(Equal("2"))
+				Expect(loaded(s).Fencing).To(BeEquivalentTo(5))
 				continue
 			}
 			Expect(status).To(Equal(http.StatusOK))
-			Expect(held(s).Version).To(Equal("1"))
+			Expect(loaded(s).Version).To(Equal("1"))
 		}
 	})
 
-	It("take effect when the weight store has delivered", func() {
+	It("take effect after the weights are fetched", func() {
 		store, err := weights.Start("127.0.0.1:0", weights.Params{})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(store.Close)
 		Expect(store.Apply(base.Faults{Outage: true})).To(Succeed())
 		s := startEngine(Params{Model: "m", Version: "1", WeightsAddress: store.Address()})
 		Expect(send(s, `{"fencing":1,"model":"n","version":"2","role":"both"}`)).To(Equal(http.StatusOK))
-		Expect(held(s).Model).To(Equal("m"))
+		Expect(loaded(s).Model).To(Equal("m"))
 		status, _ := read(s, http.MethodPost, pathText, "id", `{"model":"n","prompt":"early"}`)
 		Expect(status).To(Equal(http.StatusNotFound))
 		Expect(store.Apply(base.Faults{})).To(Succeed())
-		Eventually(func() string { return held(s).Model }, 10*time.Second).Should(Equal("n"))
+		Eventually(func() string { return loaded(s).Model }, 10*time.Second).Should(Equal("n"))
 		Expect(store.Ledger().Report().Runs).To(HaveLen(1))
 	})
 })
@@ -280,7 +280,7 @@
 var _ = Describe("cache events", func() {
 	now := time.Unix(1000, 0)
 
-	It("come late", func() {
+	It("are published after the lag", func() {
 		l := newCacheLog()
 		l.add(now, opAdd, 7)
 		l.add(now.Add(time.Second), opDrop, 7)
@@ -290,7 +290,7 @@
 		Expect(l.read(2, now.Add(2*time.Second), late).Events[0].Op).To(Equal(opDrop))
 	})
 
-	It("have the same gaps for every reader, in about the share ordered", func() {
+	It("have the same gaps for every reader, in about the configured share", func() {
 		l := newCacheLog()
 		for i := range 1000 {
 			l.add(now, opAdd, uint64(i))
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -9,18 +9,18 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// maxImports bounds the KV caches that wait for their stream.
+// maxImports bounds the number of imported KV caches without a request.
 const maxImports = 256
 
-// kvState is what an exported KV cache holds. To others it is opaque.
+// kvState is the content of an exported KV cache. It is opaque to clients.
 type kvState struct {
 	PromptTokens int `json:"prompt_tokens"`
 	Tokens       int `json:"tokens"`
 }
 
 func (s *Server) handleExport(ctx *fasthttp.RequestCtx) {
-	state, held := s.export(base.PathValue(ctx, paramStream))
-	if !held {
+	state, found := s.export(base.PathValue(ctx, paramStream))
+	if !found {
 		base.Fail(ctx, fasthttp.StatusNotFound, "no such stream")
 		return
 	}
@@ -42,8 +42,8 @@
 	return kvState{PromptTokens: usage.Cached + usage.ComputedPrompt, Tokens: st.tokens}, true
 }
 
-// handleImport keeps a KV cache until a request of that id comes, which then
-// goes on where the exported stream was.
+// handleImport keeps a KV cache until a request with the same id arrives. That
+// request continues from the position of the exported stream.
 func (s *Server) handleImport(ctx *fasthttp.RequestCtx) {
 	var state kvState
 	if err := json.Unmarshal(ctx.PostBody(), &state); err != nil {
@@ -60,7 +60,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// useImport applies the KV cache that was imported for a job, if any.
+// useImport applies the KV cache imported for a request to its job, if any.
 func (s *Server) useImport(id string, job *enginemodel.Job) {
 	state, ok := s.imports[id]
 	if !ok {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -22,18 +22,18 @@
 	errFetch      = errors.New("weight store did not deliver")
 )
 
-// holding is what an engine has loaded.
-type holding struct {
+// assignment is a model with its adapters, and the role of the engine.
+type assignment struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
 }
 
-// order says absolutely what an engine shall hold.
+// order is the complete desired state of an engine.
 type order struct {
 	Fencing int64 `json:"fencing"`
-	holding
+	assignment
 }
 
 func (s *Server) handleOrder(ctx *fasthttp.RequestCtx) {
@@ -53,8 +53,9 @@
 	base.JSON(ctx, fasthttp.StatusOK, o)
 }
 
-// accept takes an order and has the weights fetched where they are others. An
-// engine that does not check lets any order win, the older too.
+// accept applies an order, after fetching the weights if they differ from the
+// loaded ones. Without CheckFencing, orders with an older fencing number are
+// applied, too.
 func (s *Server) accept(o order) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,23 +63,23 @@
 		return fmt.Errorf("%w: %d, at %d already", errOldFencing, o.Fencing, s.fencing)
 	}
 	s.fencing = o.Fencing
-	s.ordered++
-	sameWeights := o.Model == s.held.Model && o.Version == s.held.Version
+	s.orderCount++
+	sameWeights := o.Model == s.loaded.Model && o.Version == s.loaded.Version
 	if s.params.WeightsAddress == "" || sameWeights || o.Model == "" {
-		s.held = o.holding
+		s.loaded = o.assignment
 		return nil
 	}
-	ordered := s.ordered
-	s.fetches.Submit(func() { s.load(ordered, o.holding) })
+	orderCount := s.orderCount
+	s.fetches.Submit(func() { s.load(orderCount, o.assignment) })
 	return nil
 }
 
-// load fetches weights until they are there or another order has come.
-func (s *Server) load(ordered int, next holding) {
-	for s.isCurrent(ordered) {
+// load retries fetching weights until it succeeds or another order arrives.
+func (s *Server) load(orderCount int, next assignment) {
+	for s.isCurrent(orderCount) {
 		wait, err := s.fetch(next)
 		if err == nil {
-			s.take(ordered, next)
+			s.setLoaded(orderCount, next)
 			return
 		}
 		s.Log().WithError(err).Warn("weights not loaded")
@@ -88,22 +89,23 @@
 	}
 }
 
-func (s *Server) isCurrent(ordered int) bool {
+func (s *Server) isCurrent(orderCount int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ordered == ordered
+	return s.orderCount == orderCount
 }
 
-func (s *Server) take(ordered int, next holding) {
+func (s *Server) setLoaded(orderCount int, next assignment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ordered == ordered {
-		s.held = next
+	if s.orderCount == orderCount {
+		s.loaded = next
 	}
 }
 
-// fetch asks the weight store once; on an error, wait is when to ask again.
-func (s *Server) fetch(next holding) (wait time.Duration, err error) {
+// fetch requests weights from the weight store once. On an error, wait is the
+// delay before the next attempt.
+func (s *Server) fetch(next assignment) (wait time.Duration, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
--- a/internal/standin/engine/params.go
+++ b/internal/standin/engine/params.go
@@ -9,23 +9,22 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// Generations of engines that Params.Generation names.
+// Values of Params.Generation.
 const (
 	GenerationNewer = "newer"
 	GenerationOlder = "older"
 )
 
-// Roles that an order may give.
+// Roles that an order can assign.
 const (
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
 	RoleBoth    = "both"
 )
 
-const defaultHold = 30 * time.Second
+const defaultRetention = 30 * time.Second
 
-// Params configure an engine; a field left at zero takes the value of its
-// generation.
+// Params configures an engine. A zero field takes the value of the generation.
 type Params struct {
 	base.Common
 	Generation        string  `json:"generation"`
@@ -37,19 +36,20 @@
 	KVTokens          int     `json:"kv_tokens"`
 	CacheTokens       int     `json:"cache_tokens"`
 	PrefillChunk      int     `json:"prefill_chunk"`
-	// HoldMS is how long a stream can be read after its end; 0: 30 s.
+	// HoldMS is how long a stream remains readable after its end; 0 means 30 s.
 	HoldMS int `json:"hold_ms"`
-	// Model, Version, Adapters and Role are held at each start. An engine
-	// without a model serves any.
+	// Model, Version, Adapters and Role are in force after each start. An engine
+	// without a model serves any model.
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	// WeightsAddress is the weight store's; empty: weights are there at once.
+	// WeightsAddress is the address of the weight store. If it is empty, weights
+	// are available immediately.
 	WeightsAddress string `json:"weights_address"`
 }
 
-// Validate lists every fault of the parameters, joined.
+// Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
 	faults := []error{p.model().Validate(), p.Faults.Validate()}
 	if p.Generation != "" && p.Generation != GenerationNewer && p.Generation != GenerationOlder {
@@ -84,9 +84,9 @@
 	return m
 }
 
-func (p Params) hold() time.Duration {
+func (p Params) retention() time.Duration {
 	if p.HoldMS == 0 {
-		return defaultHold
+		return defaultRetention
 	}
 	return time.Duration(p.HoldMS) * time.Millisecond
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -1,5 +1,5 @@
-// Package engine is the stand-in for a model engine: docs/PLATFORM.md, "Model
-// engine", over HTTP, round the pure enginemodel.
+// Package engine implements the stand-in for a model engine. It serves the HTTP
+// interface of docs/PLATFORM.md, "Model engine", on top of package enginemodel.
 package engine
 
 import (
@@ -23,7 +23,7 @@
 	paramStream     = "stream"
 	pathChat        = "/v1/chat/completions"
 	pathText        = "/v1/completions"
-	// defaultMaxTokens serves requests that name no max_tokens.
+	// defaultMaxTokens applies to requests without max_tokens.
 	defaultMaxTokens = 16
 )
 
@@ -37,22 +37,22 @@
 	fetches pond.Pool
 	wake    chan struct{}
 
-	mu       sync.Mutex // guards what follows
-	faults   base.Faults
-	model    *enginemodel.Model
-	jobCount int
-	jobs     map[string]*stream // running, by job id
-	streams  map[string]*stream // readable, by request id
-	ended    []*stream          // oldest first
-	imports  map[string]kvState
-	cache    *cacheLog
-	loads    base.Lagged[enginemodel.Load]
-	held     holding
-	fencing  int64
-	ordered  int // counts orders, so that an older fetch is passed over
+	mu         sync.Mutex // guards the fields below
+	faults     base.Faults
+	model      *enginemodel.Model
+	jobCount   int
+	jobs       map[string]*stream // running, by job id
+	streams    map[string]*stream // readable, by request id
+	ended      []*stream          // oldest first
+	imports    map[string]kvState
+	cache      *cacheLog
+	loads      base.Lagged[enginemodel.Load]
+	loaded     assignment
+	fencing    int64
+	orderCount int // number of orders and resets; a fetch for an earlier one is discarded
 }
 
-// Start serves an engine on an address.
+// Start starts an engine that serves on an address.
 func Start(address string, params Params) (*Server, error) {
 	if err := params.Validate(); err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-// Close stops the engine; its streams are lost.
+// Close stops the engine and discards its streams.
 func (s *Server) Close() error {
 	err := s.Host.Close()
 	s.fetches.Stop()
@@ -123,7 +123,7 @@
 		s.answerStream(ctx, a.stream, 0)
 		return
 	}
-	s.answerWhole(ctx, a.stream)
+	s.answerFull(ctx, a.stream)
 }
 
 func (s *Server) admission(ctx *fasthttp.RequestCtx, body prompt.Body) admission {
@@ -139,14 +139,14 @@
 		id:  id,
 		job: enginemodel.Job{PromptTokens: tokens, MaxTokens: body.MaxTokens, Prefixes: prefixes},
 		stream: &stream{
-			id:      id,
-			seed:    seedOf(id, ctx.PostBody()),
-			chat:    string(ctx.Path()) == pathChat,
-			model:   body.Model,
-			created: time.Now().Unix(),
-			max:     body.MaxTokens,
-			poison:  s.Faults().CrashesOn(ctx.PostBody()),
-			changed: make(chan struct{}),
+			id:       id,
+			seed:     seedOf(id, ctx.PostBody()),
+			chat:     string(ctx.Path()) == pathChat,
+			model:    body.Model,
+			created:  time.Now().Unix(),
+			max:      body.MaxTokens,
+			crashing: s.Faults().CrashesOn(ctx.PostBody()),
+			changed:  make(chan struct{}),
 		},
 	}
 }
@@ -162,14 +162,14 @@
 	}
 }
 
-func (s *Server) answerWhole(ctx *fasthttp.RequestCtx, st *stream) {
+func (s *Server) answerFull(ctx *fasthttp.RequestCtx, st *stream) {
 	for {
-		v := s.look(st)
+		v := s.snapshot(st)
 		switch {
 		case v.done:
-			base.JSON(ctx, fasthttp.StatusOK, st.whole(v.usage))
+			base.JSON(ctx, fasthttp.StatusOK, st.fullAnswer(v.usage))
 			return
-		case v.gone:
+		case v.aborted:
 			base.Fail(ctx, fasthttp.StatusInternalServerError, "stream was cancelled")
 			return
 		}
@@ -188,11 +188,11 @@
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) { s.writeStream(w, st, from) })
 }
 
-// writeStream writes tokens as they come, until the end or until the reader is
-// gone; the stream itself goes on without a reader.
+// writeStream writes tokens as they are generated, until the stream ends or the
+// reader disconnects. The stream continues without a reader.
 func (s *Server) writeStream(w *bufio.Writer, st *stream, next int) {
 	for {
-		v := s.look(st)
+		v := s.snapshot(st)
 		for ; next < v.tokens; next++ {
 			if st.writeToken(w, next) != nil {
 				return
@@ -201,7 +201,7 @@
 		if v.done {
 			_ = st.writeEnd(w, v.usage)
 		}
-		if w.Flush() != nil || v.done || v.gone {
+		if w.Flush() != nil || v.done || v.aborted {
 			return
 		}
 		select {
@@ -232,8 +232,8 @@
 }
 
 func (s *Server) handleCancel(ctx *fasthttp.RequestCtx) {
-	usage, held := s.cancel(base.PathValue(ctx, paramStream))
-	if !held {
+	usage, found := s.cancel(base.PathValue(ctx, paramStream))
+	if !found {
 		base.Fail(ctx, fasthttp.StatusNotFound, "no such stream")
 		return
 	}
@@ -251,8 +251,9 @@
 	Fencing  int64    `json:"fencing"`
 }
 
-// handleLoad reports the load as it was, and what is held as it is: orders are
-// read back by it, and the platform lets only the load lag.
+// handleLoad reports the load with the configured lag, but the loaded model
+// without lag: clients read orders back with this call, and on the platform only
+// the load lags.
 func (s *Server) handleLoad(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,9 +263,9 @@
 		Waiting:  load.Waiting,
 		KVTokens: load.KVTokens,
 		AgeMS:    s.faults.LagMS,
-		Model:    s.held.Model,
-		Version:  s.held.Version,
-		Adapters: append([]string{}, s.held.Adapters...),
+		Model:    s.loaded.Model,
+		Version:  s.loaded.Version,
+		Adapters: append([]string{}, s.loaded.Adapters...),
 		Fencing:  s.fencing,
 	})
 }
--- a/internal/standin/engine/state.go
+++ b/internal/standin/engine/state.go
@@ -12,7 +12,7 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// driveSteps ends the model's steps when they are due.
+// driveSteps advances the model at the end of each step.
 func (s *Server) driveSteps() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -28,34 +28,35 @@
 	}
 }
 
-// idleWait is how often an idle engine looks for streams to forget.
-const idleWait = time.Second
+// cleanupInterval is the interval at which an idle engine removes expired streams.
+const cleanupInterval = time.Second
 
 func (s *Server) untilStepEnd() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next, stepping := s.model.Next()
 	if !stepping {
-		return idleWait
+		return cleanupInterval
 	}
 	return max(0, time.Until(next))
 }
 
 func (s *Server) advance() {
 	s.mu.Lock()
-	poisoned := s.advanceLocked(time.Now())
+	crashes := s.advanceLocked(time.Now())
 	s.mu.Unlock()
-	if poisoned {
+	if crashes {
 		s.Crash()
 	}
 }
 
-// advanceLocked brings the state up to now; true when a stream crashes the engine.
-func (s *Server) advanceLocked(now time.Time) (poisoned bool) {
+// advanceLocked advances the state to now. It reports whether a request has
+// crashed the engine.
+func (s *Server) advanceLocked(now time.Time) (crashes bool) {
 	for _, event := range s.model.Advance(now) {
 		switch event.Kind {
 		case enginemodel.Token:
-			poisoned = s.addToken(event) || poisoned
+			crashes = s.addToken(event) || crashes
 		case enginemodel.Finished:
 			s.finish(now, event)
 		case enginemodel.CacheAdded:
@@ -64,14 +65,14 @@
 			s.cache.add(event.At, opDrop, event.Hash)
 		}
 	}
-	s.forgetEnded(now)
+	s.removeExpired(now)
 	s.loads.Set(now, s.faults.Lag(), s.model.Load())
-	return poisoned
+	return crashes
 }
 
-func (s *Server) addToken(event enginemodel.Event) (poisoned bool) {
+func (s *Server) addToken(event enginemodel.Event) (crashes bool) {
 	st := s.jobs[event.ID]
-	if st.poison {
+	if st.crashing {
 		return true
 	}
 	st.tokens = event.Index + 1
@@ -81,17 +82,17 @@
 
 func (s *Server) finish(now time.Time, event enginemodel.Event) {
 	st := s.jobs[event.ID]
-	if st.poison {
+	if st.crashing {
 		return
 	}
 	st.usage = event.Usage
 	st.done = true
 	s.endRun(st, func(run *base.Run) { run.Complete = true })
-	s.release(now, st)
+	s.markEnded(now, st)
 }
 
-// release takes a stream out of the model's hands; it can still be read.
-func (s *Server) release(now time.Time, st *stream) {
+// markEnded marks a stream as ended. It remains readable until it expires.
+func (s *Server) markEnded(now time.Time, st *stream) {
 	delete(s.jobs, st.job)
 	st.endedAt = now
 	st.notify()
@@ -108,8 +109,8 @@
 	})
 }
 
-func (s *Server) forgetEnded(now time.Time) {
-	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) >= s.params.hold() {
+func (s *Server) removeExpired(now time.Time) {
+	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) >= s.params.retention() {
 		st := s.ended[0]
 		s.ended = s.ended[1:]
 		if s.streams[st.id] == st {
@@ -118,15 +119,15 @@
 	}
 }
 
-// admission is a request that may become a stream.
+// admission is a request that has not been submitted yet.
 type admission struct {
 	id     string
 	job    enginemodel.Job
 	stream *stream
 }
 
-// submit gives a request to the model. begun is false when the engine has
-// crashed since the call came in.
+// submit submits a request to the model. begun is false if the engine has
+// crashed since the request was received.
 func (s *Server) submit(ctx *fasthttp.RequestCtx, a admission) (begun bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,8 +158,8 @@
 	return true, nil
 }
 
-// advanceOrCrash advances, and leaves the crash itself to another goroutine
-// since it needs the lock that is held here.
+// advanceOrCrash advances the state. A crash runs in another goroutine because
+// it acquires the lock that the caller holds.
 func (s *Server) advanceOrCrash(now time.Time) {
 	if s.advanceLocked(now) {
 		go s.Crash()
@@ -166,10 +167,10 @@
 }
 
 func (s *Server) serves(model string) bool {
-	return s.held.Model == "" || s.held.Model == model || slices.Contains(s.held.Adapters, model)
+	return s.loaded.Model == "" || s.loaded.Model == model || slices.Contains(s.loaded.Adapters, model)
 }
 
-// cancel ends a stream; false when none of this id is held.
+// cancel ends a stream and returns its usage, or false if the id is unknown.
 func (s *Server) cancel(id string) (enginemodel.Usage, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,9 +185,9 @@
 		return st.usage, true
 	}
 	st.usage = usage
-	st.gone = true
+	st.aborted = true
 	s.endRun(st, func(run *base.Run) { run.Cancelled = true })
-	s.release(now, st)
+	s.markEnded(now, st)
 	s.loads.Set(now, s.faults.Lag(), s.model.Load())
 	return usage, true
 }
@@ -194,14 +195,14 @@
 func (s *Server) find(id string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetEnded(time.Now())
+	s.removeExpired(time.Now())
 	return s.streams[id]
 }
 
-func (s *Server) look(st *stream) view {
+func (s *Server) snapshot(st *stream) view {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return view{tokens: st.tokens, usage: st.usage, done: st.done, gone: st.gone, changed: st.changed}
+	return view{tokens: st.tokens, usage: st.usage, done: st.done, aborted: st.aborted, changed: st.changed}
 }
 
 func (s *Server) wakeDriver() {
@@ -211,7 +212,7 @@
 	}
 }
 
-// applied takes over changed faults.
+// applied applies changed faults.
 func (s *Server) applied(f base.Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +220,7 @@
 	s.model.SetStraggle(f.Slowdown())
 }
 
-// crashed loses all state. Readers of lost streams see the connection close.
+// crashed discards all state. The host closes the connections of the readers.
 func (s *Server) crashed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,14 +228,14 @@
 		s.jobs[lost.ID].usage = lost.Usage
 	}
 	for _, st := range s.jobs {
-		st.gone = true
+		st.aborted = true
 		s.endRun(st, func(*base.Run) {})
 		st.notify()
 	}
 	s.reset()
 }
 
-// reset is the state of a process that has just started.
+// reset sets the state of a newly started process.
 func (s *Server) reset() {
 	s.jobs = make(map[string]*stream)
 	s.streams = make(map[string]*stream)
@@ -242,7 +243,7 @@
 	s.ended = nil
 	s.cache = newCacheLog()
 	s.loads.Reset()
-	s.held = holding{Model: s.params.Model, Version: s.params.Version, Adapters: s.params.Adapters, Role: s.params.Role}
+	s.loaded = assignment{Model: s.params.Model, Version: s.params.Version, Adapters: s.params.Adapters, Role: s.params.Role}
 	s.fencing = 0
-	s.ordered++
+	s.orderCount++
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,33 +13,33 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// stream is one run of a request. Fields above the line are fixed; the others
-// are guarded by the server's mutex.
+// stream is one run of a request. The first group of fields is immutable; the
+// others are guarded by the server's mutex.
 type stream struct {
-	id      string // X-Request-Id
-	job     string // id in the model: a request sent twice is two jobs
-	seed    uint64 // of the answer's words
-	chat    bool
-	model   string
-	created int64 // Unix seconds
-	max     int   // tokens
-	ticket  base.Ticket
-	poison  bool // crashes the engine with its first token
+	id       string // X-Request-Id
+	job      string // id in the model; a request that is sent twice is two jobs
+	seed     uint64 // selects the words of the answer
+	chat     bool
+	model    string
+	created  int64 // Unix seconds
+	max      int   // tokens
+	ticket   base.Ticket
+	crashing bool // the first token crashes the engine
 
 	tokens  int
 	usage   enginemodel.Usage
-	done    bool // has all tokens
-	gone    bool // cancelled or lost in a crash
+	done    bool // all tokens are generated
+	aborted bool // cancelled or lost in a crash
 	endedAt time.Time
-	changed chan struct{} // closed and replaced with each change
+	changed chan struct{} // closed and replaced on each change
 }
 
-// view is what a reader sees of a stream at one moment.
+// view is a snapshot of the state of a stream for a reader.
 type view struct {
 	tokens  int
 	usage   enginemodel.Usage
 	done    bool
-	gone    bool
+	aborted bool
 	changed <-chan struct{}
 }
 
@@ -51,8 +51,9 @@
 var words = strings.Fields(`rack slot gate train line label fold glue crease panel
 	station ride lock key north south early late open free left right press proof`)
 
-// seedOf makes the answer a function of request id and body alone, so that any
-// engine gives the same answer, and a tester can tell whose answer it is.
+// seedOf returns a hash of request id and body. Answers depend on nothing else,
+// so that all engines return the same answer and tests can attribute an answer
+// to its request.
 func seedOf(id string, body []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(id)
@@ -61,8 +62,8 @@
 	return digest.Sum64()
 }
 
-// TokenText is the text of a token: the first one is the request's id, the
-// others are words drawn by a hash of id, body and index.
+// TokenText returns the text of a token. The first token is the request id, the
+// others are words selected by a hash of id, body and index.
 func TokenText(id string, body []byte, index int) string {
 	return tokenText(id, seedOf(id, body), index)
 }
@@ -71,7 +72,7 @@
 	if index == 0 {
 		return id
 	}
-	// The finaliser of SplitMix64 spreads consecutive indexes.
+	// The SplitMix64 finalizer decorrelates consecutive indexes.
 	x := seed + uint64(index)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -120,26 +121,27 @@
 	doneEvent     = "data: [DONE]\n\n"
 )
 
-// finishLength is the finish reason of every answer: max_tokens decides.
+// finishLength is the finish reason of every answer, since every answer ends at
+// max_tokens.
 var finishLength = "length"
 
 func (st *stream) completion(object string) completionJSON {
 	return completionJSON{ID: st.id, Object: object, Created: st.created, Model: st.model, Choices: []choiceJSON{}}
 }
 
-func (st *stream) object(whole bool) string {
+func (st *stream) object(complete bool) string {
 	switch {
 	case !st.chat:
 		return "text_completion"
-	case whole:
+	case complete:
 		return "chat.completion"
 	default:
 		return "chat.completion.chunk"
 	}
 }
 
-// whole is the answer that is not streamed.
-func (st *stream) whole(usage enginemodel.Usage) completionJSON {
+// fullAnswer returns the complete answer for a request without streaming.
+func (st *stream) fullAnswer(usage enginemodel.Usage) completionJSON {
 	var text strings.Builder
 	for i := range st.max {
 		text.WriteString(st.text(i))
@@ -177,7 +179,7 @@
 	return writeData(w, event)
 }
 
-// writeEnd writes the event that carries usage, and the end mark.
+// writeEnd writes the event with the usage, and the end marker.
 func (st *stream) writeEnd(w *bufio.Writer, usage enginemodel.Usage) error {
 	event := st.completion(st.object(false))
 	event.Usage = usageOf(usage)
