--- a/internal/standin/enginemodel/sequence.go
+++ b/internal/standin/enginemodel/sequence.go
@@ -12,7 +12,7 @@
 	cached    int  // prompt tokens taken from the prefix cache or an import
 	computed  int  // prompt tokens computed
 	chunk     int  // prompt tokens computed in the current step
-	generates    bool // the current step generates a token
+	generates bool // the current step generates a token
 	blocks    int  // leading prefix blocks already cached or passed to the cache
 	tokens    int  // tokens generated, including those before an import
 }
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,6 @@
-// Package instances is the stand-in for the platform's instance list:
-// docs/PLATFORM.md, "Instance list". Readers see it as it was lag_ms ago.
+// Package instances implements the stand-in for the platform's instance list,
+// described in docs/PLATFORM.md, "Instance list". Reads return the list as it
+// was lag_ms ago.
 package instances
 
 import (
@@ -25,7 +26,7 @@
 
 const paramName = "name"
 
-// Row is one instance.
+// Row describes one instance.
 type Row struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -44,14 +45,14 @@
 	return nil
 }
 
-// Params configure a list.
+// Params configures a list.
 type Params struct {
 	base.Common
-	// Instances are on the list from the start.
+	// Instances is the initial content of the list.
 	Instances []Row `json:"instances"`
 }
 
-// Validate lists every fault of the parameters, joined.
+// Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
 	faults := []error{p.Faults.Validate()}
 	for _, row := range p.Instances {
@@ -69,12 +70,12 @@
 	*base.Host
 	params Params
 
-	mu   sync.Mutex // guards what follows
-	rows map[string]Row
-	seen base.Lagged[[]Row]
+	mu      sync.Mutex // guards the fields below
+	rows    map[string]Row
+	visible base.Lagged[[]Row]
 }
 
-// Start serves a list on an address.
+// Start starts a list that serves on an address.
 func Start(address string, params Params) (*Server, error) {
 	if err := params.Validate(); err != nil {
 		return nil, err
@@ -89,7 +90,7 @@
 	return s, s.Host.Start(address)
 }
 
-// reset returns to the rows of the start, seen without lag.
+// reset restores the initial rows, visible without lag.
 func (s *Server) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +98,8 @@
 	for _, row := range s.params.Instances {
 		s.rows[row.Name] = row
 	}
-	s.seen.Reset()
-	s.seen.Set(time.Time{}, 0, s.sorted())
+	s.visible.Reset()
+	s.visible.Set(time.Time{}, 0, s.sorted())
 }
 
 func (s *Server) sorted() []Row {
@@ -109,7 +110,7 @@
 	lag := s.Faults().Lag()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rows := s.seen.At(time.Now().Add(-lag))
+	rows := s.visible.At(time.Now().Add(-lag))
 	base.JSON(ctx, fasthttp.StatusOK, answer{Instances: append([]Row{}, rows...)})
 }
 
@@ -132,7 +133,7 @@
 	s.edit(ctx, func() { delete(s.rows, name) })
 }
 
-// edit changes rows and enters the call in the ledger.
+// edit changes rows and records the call in the ledger.
 func (s *Server) edit(ctx *fasthttp.RequestCtx, change func()) {
 	lag := s.Faults().Lag()
 	s.mu.Lock()
@@ -143,7 +144,7 @@
 		return
 	}
 	change()
-	s.seen.Set(time.Now(), lag, s.sorted())
+	s.visible.Set(time.Now(), lag, s.sorted())
 	s.Ledger().End(ticket, func(run *base.Run) { run.Complete = true })
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -29,9 +29,9 @@
 		return response.StatusCode, string(data)
 	}
 
-	// A target is put on the list and an entry taken off it. For the lag,
-	// readers still see the entry and not the target.
-	It("shows changes only after its lag", func() {
+	// A target is added to the list and an entry is removed from it. Until the lag
+	// has passed, reads still return the entry and not the target.
+	It("shows changes only after the lag", func() {
 		old := Row{Name: "old", Address: "127.0.0.1:1", Zone: "z", Role: RoleEntry}
 		hour := base.Faults{LagMS: 3_600_000}
 		s, err := Start("127.0.0.1:0", Params{Common: base.Common{Faults: hour}, Instances: []Row{old}})
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -1,5 +1,5 @@
-// Package logservice is the stand-in for the platform's append-only log:
-// docs/PLATFORM.md, "Log".
+// Package logservice implements the stand-in for the platform's append-only log,
+// described in docs/PLATFORM.md, "Log".
 package logservice
 
 import (
@@ -20,18 +20,18 @@
 	maxPageBytes   = 8 << 20
 	maxPageRecords = 1000
 	maxWait        = 60 * time.Second
-	// defaultRate is in appends a second, over all streams.
+	// defaultRate is in appends per second over all streams.
 	defaultRate = 500
 	paramStream = "stream"
 )
 
-// Params configure a log. Rate and retention are faults.rate and
-// faults.retain_ms; a rate of 0 at the start means 500 appends a second.
+// Params configures a log. Rate and retention are set by faults.rate and
+// faults.retain_ms. An initial rate of 0 means 500 appends per second.
 type Params struct {
 	base.Common
 }
 
-// Validate lists every fault of the parameters, joined.
+// Validate returns an error if a parameter is out of range.
 func (p Params) Validate() error { return p.Faults.Validate() }
 
 type appended struct {
@@ -44,8 +44,8 @@
 	Data   []byte `json:"data"` // base64 in JSON
 }
 
-// page is the answer to a read. Next is where to read on, First the oldest
-// offset kept, End the offset of the next append.
+// page is the answer to a read. Next is the offset of the next read, First the
+// oldest retained offset, and End the offset of the next append.
 type page struct {
 	Next    uint64   `json:"next"`
 	First   uint64   `json:"first"`
@@ -57,11 +57,11 @@
 type Server struct {
 	*base.Host
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards streams
 	streams map[string]*stream
 }
 
-// Start serves a log on an address.
+// Start starts a log that serves on an address.
 func Start(address string, params Params) (*Server, error) {
 	if err := params.Validate(); err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 	base.JSON(ctx, fasthttp.StatusOK, appended{Offset: offset})
 }
 
-var errCrashed = errors.New("crashed since the call came in")
+var errCrashed = errors.New("log crashed after the request was received")
 
 func (s *Server) append(ctx *fasthttp.RequestCtx, name string) (uint64, error) {
 	s.mu.Lock()
@@ -119,7 +119,7 @@
 	return offset, nil
 }
 
-// query is what a read asks for.
+// query holds the parameters of a read.
 type query struct {
 	stream string
 	from   uint64
@@ -147,7 +147,7 @@
 		wait:   min(time.Duration(waitMS)*time.Millisecond, maxWait),
 	}
 	answer := s.poll(q)
-	// An outage that began during the wait ends it without an answer.
+	// The outage may have begun during the wait.
 	if s.Faults().Outage {
 		base.Fail(ctx, fasthttp.StatusServiceUnavailable, "outage")
 		return
@@ -155,8 +155,9 @@
 	base.JSON(ctx, fasthttp.StatusOK, answer)
 }
 
-// poll reads; when there is nothing, it waits for an append. A stream that does
-// not exist yet reads as empty, so that one can wait for its first record.
+// poll returns a page, after waiting for an append if there are no records. A
+// stream that does not exist yet is treated as empty, so that readers can wait
+// for its first record.
 func (s *Server) poll(q query) page {
 	timeout := time.NewTimer(q.wait)
 	defer timeout.Stop()
--- a/internal/standin/logservice/logservice_test.go
+++ b/internal/standin/logservice/logservice_test.go
@@ -72,7 +72,7 @@
 		Expect(string(read.Records[0].Data)).To(Equal("record 2"))
 	})
 
-	It("refuses a record above 1 MiB", func() {
+	It("rejects a record above 1 MiB", func() {
 		status, _, err := post("a", strings.Repeat("x", maxRecordBytes+1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusRequestEntityTooLarge))
@@ -85,9 +85,9 @@
 		Expect([]int{first, second}).To(Equal([]int{http.StatusOK, http.StatusTooManyRequests}))
 	})
 
-	// In an outage every append and read is answered 503 and has no effect.
-	// When it is over, the records of before are there and offsets go on.
-	It("takes nothing in an outage and keeps what it has", func() {
+	// During an outage every append and read fails with 503 and has no effect.
+	// Afterwards the earlier records are still there and offsets continue.
+	It("accepts no records during an outage and keeps earlier ones", func() {
 		_, _, _ = post("a", "before")
 		Expect(s.Apply(base.Faults{Outage: true})).To(Succeed())
 		status, _, _ := post("a", "during")
@@ -99,9 +99,9 @@
 		Expect(answer.Offset).To(BeEquivalentTo(2))
 	})
 
-	// The connection closes on the writer before it has an answer, so it can't
-	// know the offset. The record is on the log all the same: only reading back
-	// tells, and appending again would give a second record.
+	// The connection closes before the writer receives the answer with the offset.
+	// The record is in the log nevertheless, which only a read reveals. Appending
+	// again would add a second record.
 	It("keeps a record whose answer was lost", func() {
 		Expect(s.Apply(base.Faults{LoseAnswers: true})).To(Succeed())
 		_, _, err := post("a", "unanswered")
@@ -124,10 +124,10 @@
 })
 
 var _ = Describe("retention", func() {
-	// A reader that was away for longer than the retention asks for an offset
-	// that is gone. It is given the oldest record kept, and first tells it what
-	// it has missed; offsets never start again.
-	It("drops old records and tells the oldest kept", func() {
+	// A reader that paused for longer than the retention requests an offset that
+	// has expired. It receives the oldest retained record, and First shows how
+	// many it has missed. Offsets are never reused.
+	It("removes old records and reports the oldest retained offset", func() {
 		s := newStream()
 		for i := range 4 {
 			s.append(start.Add(time.Duration(i)*time.Second), []byte{byte(i)})
--- a/internal/standin/logservice/stream.go
+++ b/internal/standin/logservice/stream.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// kept is a record that the log holds.
-type kept struct {
+// storedRecord is a stored record.
+type storedRecord struct {
 	at   time.Time
 	data []byte
 }
@@ -12,26 +12,26 @@
 // records[0]. Guarded by the server's mutex.
 type stream struct {
 	first   uint64
-	records []kept
-	changed chan struct{} // closed and replaced with each append
+	records []storedRecord
+	changed chan struct{} // closed and replaced on each append
 }
 
 func newStream() *stream {
 	return &stream{first: 1, changed: make(chan struct{})}
 }
 
-// end is the offset that the next record will get.
+// end returns the offset of the next record.
 func (s *stream) end() uint64 { return s.first + uint64(len(s.records)) }
 
 func (s *stream) append(now time.Time, data []byte) uint64 {
 	offset := s.end()
-	s.records = append(s.records, kept{at: now, data: data})
+	s.records = append(s.records, storedRecord{at: now, data: data})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return offset
 }
 
-// expire drops what is older than the retention; 0 keeps all.
+// expire removes records older than the retention; 0 means no limit.
 func (s *stream) expire(now time.Time, retention time.Duration) {
 	if retention == 0 {
 		return
@@ -44,7 +44,8 @@
 	s.first += uint64(old)
 }
 
-// read returns at most limit records from an offset on, or from the oldest kept.
+// read returns at most limit records, starting at from or at the oldest retained
+// record, whichever is later.
 func (s *stream) read(now time.Time, from uint64, limit int) page {
 	from = max(from, s.first)
 	p := page{Next: from, First: s.first, End: s.end(), Records: []record{}}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is the stand-in for a plain service: docs/PLATFORM.md, "Plain
-// service". It echoes each call and enters it in the ledger.
+// Package service implements the stand-in for a plain service, described in
+// docs/PLATFORM.md, "Plain service". It echoes each call and records it in the
+// ledger.
 package service
 
 import (
@@ -20,22 +21,22 @@
 	defaultConcurrency = 64
 )
 
-// Params configure a service.
+// Params configures a service.
 type Params struct {
 	base.Common
-	// ServiceMS is the time that a call takes; 0: 5 ms.
+	// ServiceMS is the duration of a call; 0 means 5 ms.
 	ServiceMS float64 `json:"service_ms"`
-	// Concurrency bounds the calls taken at once; 0: 64.
+	// Concurrency bounds the number of concurrent calls; 0 means 64.
 	Concurrency int `json:"concurrency"`
 }
 
-// Validate lists every fault of the parameters, joined.
+// Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
-	var fault error
+	var err error
 	if p.ServiceMS < 0 || p.Concurrency < 0 {
-		fault = errors.New("service_ms and concurrency must not be negative")
+		err = errors.New("service_ms and concurrency must not be negative")
 	}
-	return errors.Join(fault, p.Faults.Validate())
+	return errors.Join(err, p.Faults.Validate())
 }
 
 // Echo is the answer to every call.
@@ -51,12 +52,12 @@
 // Server is a running service.
 type Server struct {
 	*base.Host
-	params Params
-	mu     sync.Mutex
-	taken  int
+	params  Params
+	mu      sync.Mutex
+	running int
 }
 
-// Start serves a service on an address.
+// Start starts a service on an address.
 func Start(address string, params Params) (*Server, error) {
 	if err := params.Validate(); err != nil {
 		return nil, err
@@ -81,11 +82,11 @@
 	if !s.Admits(ctx) {
 		return
 	}
-	if !s.take() {
+	if !s.acquire() {
 		base.NotAdmitted(ctx, base.NotAdmittedFull)
 		return
 	}
-	defer s.give()
+	defer s.release()
 	s.run(ctx, f)
 }
 
@@ -116,18 +117,18 @@
 	})
 }
 
-func (s *Server) take() bool {
+func (s *Server) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.taken >= s.params.Concurrency {
+	if s.running >= s.params.Concurrency {
 		return false
 	}
-	s.taken++
+	s.running++
 	return true
 }
 
-func (s *Server) give() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken--
+	s.running--
 }
