--- a/internal/standin/engine/params.go
+++ b/internal/standin/engine/params.go
@@ -51,17 +51,17 @@
 
 // Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
-	faults := []error{p.model().Validate(), p.Faults.Validate()}
+	errs := []error{p.model().Validate(), p.Faults.Validate()}
 	if p.Generation != "" && p.Generation != GenerationNewer && p.Generation != GenerationOlder {
-		faults = append(faults, fmt.Errorf("generation must be %q or %q, not %q", GenerationNewer, GenerationOlder, p.Generation))
+		errs = append(errs, fmt.Errorf("generation must be %q or %q, not %q", GenerationNewer, GenerationOlder, p.Generation))
 	}
 	if !validRole(p.Role) {
-		faults = append(faults, fmt.Errorf("unknown role %q", p.Role))
+		errs = append(errs, fmt.Errorf("unknown role %q", p.Role))
 	}
 	if p.HoldMS < 0 {
-		faults = append(faults, errors.New("hold_ms must not be negative"))
+		errs = append(errs, errors.New("hold_ms must not be negative"))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func validRole(role string) bool {
--- a/internal/standin/enginemodel/params.go
+++ b/internal/standin/enginemodel/params.go
@@ -53,10 +53,10 @@
 
 // Validate returns all errors in the parameters, joined, or nil if there are none.
 func (p Params) Validate() error {
-	var faults []error
-	check := func(ok bool, fault string) {
+	var errs []error
+	check := func(ok bool, message string) {
 		if !ok {
-			faults = append(faults, errors.New(fault))
+			errs = append(errs, errors.New(message))
 		}
 	}
 	check(p.PrefillRate > 0, "prefill rate must be positive")
@@ -67,5 +67,5 @@
 	check(p.KVTokens > 0, "KV tokens must be positive")
 	check(p.CacheTokens >= 0, "cache tokens must not be negative")
 	check(p.PrefillChunk > 0, "prefill chunk must be positive")
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -54,11 +54,11 @@
 
 // Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
-	faults := []error{p.Faults.Validate()}
+	errs := []error{p.Faults.Validate()}
 	for _, row := range p.Instances {
-		faults = append(faults, row.validate())
+		errs = append(errs, row.validate())
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 type answer struct {
