--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is the stand-in for the weight store: docs/PLATFORM.md,
-// "Weight store".
+// Package weights implements the stand-in for the weight store, described in
+// docs/PLATFORM.md, "Weight store".
 package weights
 
 import (
@@ -15,25 +15,25 @@
 const (
 	defaultBytes = 64 << 10
 	maxBytes     = 16 << 20
-	// defaultRate is in fetches a second.
+	// defaultRate is in fetches per second.
 	defaultRate = 2
 )
 
-// Params configure a store. The rate is faults.rate; 0 at the start means 2
-// fetches a second.
+// Params configures a store. The rate is set by faults.rate; an initial rate of 0
+// means 2 fetches per second.
 type Params struct {
 	base.Common
-	// Bytes is the size of every set of weights; 0: 64 KiB.
+	// Bytes is the size of every set of weights; 0 means 64 KiB.
 	Bytes int `json:"bytes"`
 }
 
-// Validate lists every fault of the parameters, joined.
+// Validate returns all errors in the parameters, joined.
 func (p Params) Validate() error {
-	var fault error
+	var err error
 	if p.Bytes < 0 || p.Bytes > maxBytes {
-		fault = errors.New("bytes must lie between 0 and 16 MiB")
+		err = errors.New("bytes must lie between 0 and 16 MiB")
 	}
-	return errors.Join(fault, p.Faults.Validate())
+	return errors.Join(err, p.Faults.Validate())
 }
 
 // Server is a running store.
@@ -42,7 +42,7 @@
 	bytes int
 }
 
-// Start serves a store on an address.
+// Start starts a store that serves on an address.
 func Start(address string, params Params) (*Server, error) {
 	if err := params.Validate(); err != nil {
 		return nil, err
@@ -75,7 +75,8 @@
 	s.Ledger().End(ticket, func(run *base.Run) { run.Complete = true })
 }
 
-// content is the same for the same name, and differs between names.
+// content returns bytes that depend only on name and size. Different names have
+// different content.
 func content(name string, size int) []byte {
 	seed := xxhash.Sum64String(name)
 	data := make([]byte, size)
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("the weight store", func() {
-	It("answers 429 with Retry-After over its rate", func() {
+	It("answers 429 with Retry-After above its rate", func() {
 		once := base.Common{Faults: base.Faults{Rate: 0.01}}
 		s, err := Start("127.0.0.1:0", Params{Common: once, Bytes: 10})
 		Expect(err).NotTo(HaveOccurred())
