--- a/internal/standin/settings/settings.go
+++ b/internal/standin/settings/settings.go
@@ -19,7 +19,7 @@
 )
 
 // ErrSettings is wrapped by every error about the contents of a file.
-var ErrSettings = errors.New("faulty settings")
+var ErrSettings = errors.New("invalid settings")
 
 // Kinds of stand-ins.
 const (
@@ -30,15 +30,16 @@
 	KindWeights   = "weights"
 )
 
-// anyPort lets the system choose; it may stand in a file more than once.
+// anyPort lets the system choose a port. It may be used more than once in a file.
 const anyPort = "0"
 
-// File is a settings file.
+// File is the content of a settings file.
 type File struct {
 	StandIns []StandIn `json:"standins"`
 }
 
-// StandIn is one stand-in; Params are those of its kind's package.
+// StandIn describes one stand-in. Params holds the Params of the package of its
+// kind.
 type StandIn struct {
 	Kind         string          `json:"kind"`
 	Name         string          `json:"name"`
@@ -49,14 +50,14 @@
 	start func(address string, common base.Common) (Running, error)
 }
 
-// Running is a stand-in that was started.
+// Running is a started stand-in.
 type Running interface {
 	Address() string
 	AdminAddress() string
 	Close() error
 }
 
-// Parse reads and checks a file; the error lists every fault.
+// Parse decodes and validates a file. The returned error lists all problems.
 func Parse(data []byte) (File, error) {
 	var file File
 	if err := base.DecodeStrict(data, &file); err != nil {
@@ -69,18 +70,18 @@
 }
 
 func (f *File) check() error {
-	var faults []error
+	var errs []error
 	if len(f.StandIns) == 0 {
-		faults = append(faults, errors.New("no standins"))
+		errs = append(errs, errors.New("no standins"))
 	}
 	names := make(map[string]bool)
 	addresses := make(map[string]bool)
 	for i := range f.StandIns {
 		s := &f.StandIns[i]
 		where := fmt.Sprintf("standins[%d] %q", i, s.Name)
-		fail := func(err error) { faults = append(faults, fmt.Errorf("%s: %w", where, err)) }
+		fail := func(err error) { errs = append(errs, fmt.Errorf("%s: %w", where, err)) }
 		if s.Name == "" || names[s.Name] {
-			fail(errors.New("name is empty or not the only one"))
+			fail(errors.New("name is empty or not unique"))
 		}
 		names[s.Name] = true
 		for _, address := range []string{s.Address, s.AdminAddress} {
@@ -96,10 +97,10 @@
 			fail(err)
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// prepare decodes the parameters by kind and checks them.
+// prepare decodes and validates the parameters according to the kind.
 func (s *StandIn) prepare() error {
 	switch s.Kind {
 	case KindEngine:
@@ -139,7 +140,7 @@
 	return params.Validate()
 }
 
-// Only keeps the stand-in of one name.
+// Only returns a file with only the named stand-in.
 func (f File) Only(name string) (File, error) {
 	for _, s := range f.StandIns {
 		if s.Name == name {
@@ -149,7 +150,8 @@
 	return File{}, fmt.Errorf("%w: no stand-in named %q", ErrSettings, name)
 }
 
-// Start starts all stand-ins of the file, or none.
+// Start starts all stand-ins of the file. If one fails to start, the others are
+// closed.
 func (f File) Start(log *logrus.Logger) ([]Running, error) {
 	var all []Running
 	for _, s := range f.StandIns {
@@ -163,11 +165,11 @@
 	return all, nil
 }
 
-// CloseAll closes stand-ins.
+// CloseAll closes all given stand-ins and joins the errors.
 func CloseAll(all []Running) error {
-	var faults []error
+	var errs []error
 	for _, running := range all {
-		faults = append(faults, running.Close())
+		errs = append(errs, running.Close())
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/standin/settings/settings_test.go
+++ b/internal/standin/settings/settings_test.go
@@ -20,18 +20,18 @@
 }
 
 var _ = Describe("a settings file", func() {
-	It("has every fault told at once", func() {
+	It("has all its errors reported at once", func() {
 		_, err := Parse([]byte(`{"standins":[
 			{"kind":"oven","name":"a","address":"127.0.0.1:1","admin_address":"127.0.0.1:2"},
 			{"kind":"engine","name":"a","address":"127.0.0.1:1","admin_address":"nowhere","params":{"max_batch":-1,"role":"both"}},
 			{"kind":"log","name":"c","address":"127.0.0.1:3","admin_address":"127.0.0.1:4","params":{"retention":1}}]}`))
 		Expect(err).To(MatchError(ErrSettings))
-		for _, fault := range []string{`unknown kind "oven"`, "not the only one", "used twice", `"nowhere"`, "max batch", `"retention"`} {
-			Expect(err.Error()).To(ContainSubstring(fault))
+		for _, problem := range []string{`unknown kind "oven"`, "not unique", "used twice", `"nowhere"`, "max batch", `"retention"`} {
+			Expect(err.Error()).To(ContainSubstring(problem))
 		}
 	})
 
-	It("starts all that it lists", func() {
+	It("starts every stand-in that it lists", func() {
 		var list []string
 		for _, kind := range []string{KindEngine, KindService, KindLog, KindInstances, KindWeights} {
 			list = append(list, `{"kind":"`+kind+`","name":"`+kind+`","address":"127.0.0.1:0","admin_address":"127.0.0.1:0"}`)
@@ -54,9 +54,9 @@
 })
 
 var _ = Describe("a plain service", func() {
-	// The call takes effect, then its connection closes without an answer. The
-	// caller can't tell whether it ran; the ledger can: once, complete.
-	It("enters a call whose answer was lost in the ledger", func() {
+	// The call takes effect, then its connection closes without an answer. For the
+	// caller the outcome is unknown. The ledger contains one complete run.
+	It("records a call whose answer was lost in the ledger", func() {
 		s, err := service.Start("127.0.0.1:0", service.Params{Common: base.Common{Faults: base.Faults{LoseAnswers: true}}})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(s.Close)
