--- a/internal/standin/layout/layout.go
+++ b/internal/standin/layout/layout.go
@@ -1,6 +1,6 @@
-// Package layout derives from a document the settings files with which the
-// deployment that it describes is run on loopback: one file for all stand-ins,
-// one for each entry, one for the operators' client and one for the console.
+// Package layout generates the settings files that run the deployment described
+// by a document on loopback: one file for all stand-ins, one for each entry, one
+// for the operators' client and one for the console.
 package layout
 
 import (
@@ -39,32 +39,34 @@
 	portsPerSection = 100
 )
 
-// OperatorToken is the operators' token of every loopback deployment.
+// OperatorToken is the operator token of every loopback deployment.
 const OperatorToken = "loopback-operator-token"
 
-// sharedKey is the peers' key of every loopback deployment.
+// sharedKey is the key shared by the peers of every loopback deployment.
 const sharedKey = "loopback-only-shared-key-0123456789abcdef"
 
-// fastPrefill tells the newer generation of engines from the older by the
-// class's prefill rate, in tokens per second.
+// fastPrefill is the prefill rate of a class, in tokens per second, from which on
+// its engines are of the newer generation.
 const fastPrefill = 6000
 
 // ErrLayout is wrapped by every error of this package.
-var ErrLayout = errors.New("cannot lay the deployment out")
+var ErrLayout = errors.New("cannot generate the settings files")
 
-// Options choose what is laid out.
+// Options configures the generated files.
 type Options struct {
 	Document *document.Document
 	Entries  int
-	// Policy is the entries' policy; empty: the default.
+	// Policy is the policy of the entries. If it is empty, the default applies.
 	Policy string
-	// TraceDir is where entries record their traffic; empty: nowhere.
+	// TraceDir is the directory in which entries record their traffic. If it is
+	// empty, traffic is not recorded.
 	TraceDir string
-	// EngineStepMS is the time of an engine's step; 0: that of its generation.
+	// EngineStepMS is the base duration of an engine step. If it is 0, the
+	// duration of the engine's generation applies.
 	EngineStepMS float64
 }
 
-// Write puts the settings files into a directory: standin.json, entry-N.json,
+// Write writes the settings files to a directory: standin.json, entry-N.json,
 // ctl.json and console.json.
 func Write(dir string, o Options) error {
 	if o.Entries < 1 || o.Entries > portsPerSection {
@@ -86,11 +88,11 @@
 }
 
 func (o Options) files() (map[string]any, error) {
-	stand, err := o.standins()
+	standIns, err := o.standins()
 	if err != nil {
 		return nil, err
 	}
-	files := map[string]any{"standin.json": stand, "ctl.json": o.ctl(), "console.json": o.console()}
+	files := map[string]any{"standin.json": standIns, "ctl.json": o.ctl(), "console.json": o.console()}
 	for i := range o.Entries {
 		files[fmt.Sprintf("entry-%d.json", i+1)] = o.entry(i)
 	}
@@ -109,9 +111,9 @@
 			Kind: kind, Name: name, Address: address, AdminAddress: admin, Params: data,
 		})
 	}
-	add(standins.KindLog, "log", at(logPort), logservice.Params{})
-	add(standins.KindInstances, "instances", at(instancesPort), instances.Params{Instances: o.rows()})
-	add(standins.KindWeights, "weights", at(weightsPort), weights.Params{})
+	add(standins.KindLog, "log", loopbackAddress(logPort), logservice.Params{})
+	add(standins.KindInstances, "instances", loopbackAddress(instancesPort), instances.Params{Instances: o.rows()})
+	add(standins.KindWeights, "weights", loopbackAddress(weightsPort), weights.Params{})
 	index := document.NewIndex(o.Document)
 	for i := range o.Document.Targets {
 		t := &o.Document.Targets[i]
@@ -133,10 +135,11 @@
 	return file, nil
 }
 
-// engineParams gives an engine the generation of its class. In a pool of one
-// model it holds that model already; in others it serves whatever is asked for.
+// engineParams returns parameters with the generation of the class. In a pool
+// with one model, the engine starts with that model loaded. In other pools it
+// serves any model.
 func engineParams(index *document.Index, t *document.Target, class *document.Class) engine.Params {
-	params := engine.Params{Generation: engine.GenerationOlder, WeightsAddress: at(weightsPort)}
+	params := engine.Params{Generation: engine.GenerationOlder, WeightsAddress: loopbackAddress(weightsPort)}
 	if class.PrefillRate >= fastPrefill {
 		params.Generation = engine.GenerationNewer
 	}
@@ -149,7 +152,7 @@
 	return params
 }
 
-// rows lists the targets. Entries announce themselves through their seeds.
+// rows returns the instance list of all targets and entries.
 func (o Options) rows() []instances.Row {
 	var rows []instances.Row
 	for _, t := range o.Document.Targets {
@@ -158,7 +161,7 @@
 	zones := o.zones()
 	for i := range o.Entries {
 		rows = append(rows, instances.Row{
-			Name: entryName(i), Address: at(peersPort + i), Zone: zones[i%len(zones)], Role: instances.RoleEntry,
+			Name: entryName(i), Address: loopbackAddress(peersPort + i), Zone: zones[i%len(zones)], Role: instances.RoleEntry,
 		})
 	}
 	return rows
@@ -185,10 +188,10 @@
 	e := settings.DefaultEntry()
 	e.Name = entryName(i)
 	e.Zone = zones[i%len(zones)]
-	e.CallersAddress = at(callersPort + i)
-	e.PeersAddress = at(peersPort + i)
-	e.OperatorsAddress = at(operatorsPort + i)
-	e.Platform = settings.Platform{Log: []string{"http://" + at(logPort)}, Instances: "http://" + at(instancesPort)}
+	e.CallersAddress = loopbackAddress(callersPort + i)
+	e.PeersAddress = loopbackAddress(peersPort + i)
+	e.OperatorsAddress = loopbackAddress(operatorsPort + i)
+	e.Platform = settings.Platform{Log: []string{"http://" + loopbackAddress(logPort)}, Instances: "http://" + loopbackAddress(instancesPort)}
 	e.SharedKey = sharedKey
 	e.Peers = []string{}
 	e.OperatorTokenSHA256 = tokenHash()
@@ -200,7 +203,7 @@
 	}
 	for j := range o.Entries {
 		if j != i {
-			e.Peers = append(e.Peers, at(peersPort+j))
+			e.Peers = append(e.Peers, loopbackAddress(peersPort+j))
 		}
 	}
 	return e
@@ -209,7 +212,7 @@
 func (o Options) operatorAddresses() []string {
 	addresses := make([]string, o.Entries)
 	for i := range addresses {
-		addresses[i] = at(operatorsPort + i)
+		addresses[i] = loopbackAddress(operatorsPort + i)
 	}
 	return addresses
 }
@@ -223,10 +226,10 @@
 
 func (o Options) console() settings.Console {
 	c := settings.DefaultConsole()
-	c.Address = at(consolePort)
+	c.Address = loopbackAddress(consolePort)
 	c.Entries = o.operatorAddresses()
 	c.OperatorTokenSHA256 = tokenHash()
-	c.Log = []string{"http://" + at(logPort)}
+	c.Log = []string{"http://" + loopbackAddress(logPort)}
 	return c
 }
 
@@ -237,7 +240,7 @@
 
 func entryName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-func at(port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func loopbackAddress(port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
 func adminAddress(address string) (string, error) {
 	name, port, err := net.SplitHostPort(address)
