--- a/internal/standin/base/answer.go
+++ b/internal/standin/base/answer.go
@@ -14,33 +14,34 @@
 	"github.com/valyala/fasthttp"
 )
 
-// HeaderNotAdmitted says that a request was provably not taken, and why.
+// HeaderNotAdmitted is the header of answers to requests that were certainly not
+// run. Its value is the reason.
 const HeaderNotAdmitted = "X-Not-Admitted"
 
-// Reasons in HeaderNotAdmitted.
+// Values of HeaderNotAdmitted.
 const (
 	NotAdmittedFull    = "full"
 	NotAdmittedLeaving = "leaving"
 )
 
-// Problem is the body of every answer that is an error, in the shape that
-// clients of OpenAI-compatible engines read.
+// Problem is the body of every error answer, in the format that clients of
+// OpenAI-compatible engines expect.
 type Problem struct {
 	Error ProblemDetail `json:"error"`
 }
 
-// ProblemDetail says what is wrong.
+// ProblemDetail describes an error.
 type ProblemDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 }
 
-// Ready is the answer of /ready.
+// Ready is the body of the answer to /ready.
 type Ready struct {
 	State string `json:"state"`
 }
 
-// JSON answers with a status and a value.
+// JSON answers with a status and a value encoded as JSON.
 func JSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -57,7 +58,7 @@
 	JSON(ctx, status, Problem{Error: ProblemDetail{Message: message, Type: fasthttp.StatusMessage(status)}})
 }
 
-// NotAdmitted answers that the request was not taken.
+// NotAdmitted answers that the request was not admitted.
 func NotAdmitted(ctx *fasthttp.RequestCtx, reason string) {
 	Fail(ctx, fasthttp.StatusServiceUnavailable, "not admitted: "+reason)
 	ctx.Response.Header.Set(HeaderNotAdmitted, reason)
@@ -72,15 +73,15 @@
 	JSON(ctx, fasthttp.StatusOK, Ready{State: "ready"})
 }
 
-// DropConnection closes the caller's connection in place of an answer.
+// DropConnection closes the caller's connection without an answer.
 func DropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Reset()
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(closeConn)
 }
 
-// PathValue returns a decoded part of the path. It is a copy: the router's own
-// string lies in the request's buffer, which the next call overwrites.
+// PathValue returns a decoded path parameter. It is a copy, because the router's
+// string refers to the request buffer, which the next call overwrites.
 func PathValue(ctx *fasthttp.RequestCtx, name string) string {
 	raw, _ := ctx.UserValue(name).(string)
 	value, err := url.PathUnescape(raw)
@@ -90,7 +91,8 @@
 	return strings.Clone(value)
 }
 
-// UintArgument reads a query argument; it answers 400 when it is no number.
+// UintArgument returns a query argument, or the value absent if there is none. It
+// answers 400 and returns false if the argument is not a number.
 func UintArgument(ctx *fasthttp.RequestCtx, name string, absent int) (int, bool) {
 	if !ctx.QueryArgs().Has(name) {
 		return absent, true
@@ -105,12 +107,13 @@
 
 // answerTooMany answers 429 with Retry-After in whole seconds, at least one.
 func answerTooMany(ctx *fasthttp.RequestCtx, wait time.Duration) {
-	Fail(ctx, fasthttp.StatusTooManyRequests, "over the rate")
+	Fail(ctx, fasthttp.StatusTooManyRequests, "rate limit exceeded")
 	seconds := max(1, int(math.Ceil(wait.Seconds())))
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 }
 
-// DecodeStrict reads one JSON value into target and takes no unknown field.
+// DecodeStrict decodes exactly one JSON value into target and rejects unknown
+// fields.
 func DecodeStrict(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
--- a/internal/standin/base/base_test.go
+++ b/internal/standin/base/base_test.go
@@ -20,7 +20,7 @@
 var start = time.Unix(1000, 0)
 
 var _ = Describe("Faults", func() {
-	It("keep what an order leaves out", func() {
+	It("keep the fields that an order does not contain", func() {
 		f, err := base.Faults{LagMS: 7, Outage: true}.Merge([]byte(`{"outage":false,"gaps":0.5}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f).To(Equal(base.Faults{LagMS: 7, Gaps: 0.5}))
@@ -38,10 +38,10 @@
 })
 
 var _ = Describe("a crash", func() {
-	// A call is running when the process dies, and its handler comes to its end
-	// after the restart. The caller saw the connection close; the run must stay
-	// incomplete, and the handler must not begin anything in the new process.
-	It("leaves nothing to a handler that outlives it", func() {
+	// A call is running when the process crashes, and its handler ends after the
+	// restart. The connection of the caller is closed, so the run must remain
+	// incomplete and the handler must not begin a run in the new process.
+	It("prevents handlers of the old process from beginning or completing runs", func() {
 		began, release, ended := make(chan bool), make(chan bool), make(chan bool)
 		var h *base.Host
 		h = base.New(base.Common{}, base.Behaviour{Handle: func(ctx *fasthttp.RequestCtx) {
@@ -72,8 +72,8 @@
 	})
 })
 
-var _ = Describe("orders to turn requests away", func() {
-	It("are entered in the ledger, and nothing runs", func() {
+var _ = Describe("requests rejected because of a fault", func() {
+	It("are counted in the ledger and not run", func() {
 		var h *base.Host
 		h = base.New(base.Common{}, base.Behaviour{Handle: func(ctx *fasthttp.RequestCtx) { h.Admits(ctx) }})
 		Expect(h.Start("127.0.0.1:0")).To(Succeed())
@@ -98,7 +98,7 @@
 })
 
 var _ = Describe("Bucket", func() {
-	It("lets the rate through and tells when to come again", func() {
+	It("limits the rate and returns the delay until the next call", func() {
 		var b base.Bucket
 		taken := 0
 		for i := range 1000 {
@@ -106,7 +106,7 @@
 				taken++
 			}
 		}
-		// A burst of 25 and what 999 ms refill at 100 a second.
+		// A burst of 25 and the refill of 999 ms at 100 per second.
 		Expect(taken).To(BeNumerically("~", 124, 1))
 		var slow base.Bucket
 		_, ok := slow.Take(start, 2)
@@ -118,7 +118,7 @@
 })
 
 var _ = Describe("Lagged", func() {
-	It("shows the value as it was", func() {
+	It("returns the value as it was at a time", func() {
 		var l base.Lagged[int]
 		lag := 10 * time.Millisecond
 		for i := range 5 {
--- a/internal/standin/base/bucket.go
+++ b/internal/standin/base/bucket.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// burstShare of a second's rate may come at once.
+// burstShare is the burst size as a share of the calls allowed in one second.
 const burstShare = 0.25
 
-// Bucket is a token bucket. Not safe for concurrent use.
+// Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
 	tokens float64
 	filled time.Time
 }
 
-// Take reports whether one more call fits the rate a second; 0 is no bound.
-// When it does not fit, wait tells when to come again.
+// Take reports whether one more call is within the rate per second; a rate of 0
+// means no limit. If it is not, wait is the delay until the next call is allowed.
 func (b *Bucket) Take(now time.Time, rate float64) (wait time.Duration, ok bool) {
 	if rate <= 0 {
 		return 0, true
--- a/internal/standin/base/faults.go
+++ b/internal/standin/base/faults.go
@@ -1,5 +1,5 @@
-// Package base is what all stand-ins share: listeners that can crash, faults
-// ordered on the admin path, the ledger of what ran, and lagging views.
+// Package base provides what all stand-ins share: listeners that can be crashed,
+// faults set through the admin path, the ledger of runs, and lagged values.
 package base
 
 import (
@@ -8,39 +8,43 @@
 	"time"
 )
 
-// Faults are the orders in force. A field that an order leaves out stays.
+// Faults is the set of injected faults. An order changes only the fields that it
+// contains.
 type Faults struct {
-	// Outage answers 503 to all but the admin path.
+	// Outage answers 503 to all calls except those of the admin path.
 	Outage bool `json:"outage"`
 	// SlowMS delays every call.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers lets calls take effect and drops their connection unanswered.
+	// LoseAnswers lets calls take effect, but closes their connections without an
+	// answer.
 	LoseAnswers bool `json:"lose_answers"`
 	// LagMS is the age of load reports, cache events and the instance list.
 	LagMS int `json:"lag_ms"`
 	// Gaps is the share of cache events that are never published, 0 to 1.
 	Gaps float64 `json:"gaps"`
-	// Straggle multiplies step or service time; 0 means 1.
+	// Straggle is the factor on step or service time; 0 means 1.
 	Straggle float64 `json:"straggle"`
-	// Refuse answers "not admitted: full", Leaving "not admitted: leaving".
+	// Refuse rejects requests with "not admitted: full",
+	// Leaving with "not admitted: leaving".
 	Refuse  bool `json:"refuse"`
 	Leaving bool `json:"leaving"`
-	// Crash holds while the process is down.
+	// Crash is true while the process is down.
 	Crash bool `json:"crash"`
-	// CrashOn crashes the target that runs a body with this text; empty: none.
+	// CrashOn makes a request crash its target if the body contains this text.
+	// If it is empty, no request does.
 	CrashOn string `json:"crash_on"`
-	// CheckFencing refuses orders that carry an old fencing number.
+	// CheckFencing rejects orders with an old fencing number.
 	CheckFencing bool `json:"check_fencing"`
-	// Rate bounds appends or fetches a second; 0: no bound.
+	// Rate limits appends or fetches per second; 0 means no limit.
 	Rate float64 `json:"rate"`
-	// RetainMS is how long the log keeps records; 0: for ever.
+	// RetainMS is the retention time of log records; 0 means no limit.
 	RetainMS int `json:"retain_ms"`
 }
 
-// Lag is LagMS as a duration.
+// Lag returns LagMS as a duration.
 func (f Faults) Lag() time.Duration { return time.Duration(f.LagMS) * time.Millisecond }
 
-// Slowdown is Straggle with its default.
+// Slowdown returns Straggle, or 1 if it is not set.
 func (f Faults) Slowdown() float64 {
 	if f.Straggle <= 0 {
 		return 1
@@ -48,7 +52,7 @@
 	return f.Straggle
 }
 
-// Merge returns f with the fields that the JSON order names.
+// Merge returns f with the fields of the JSON order replaced.
 func (f Faults) Merge(order []byte) (Faults, error) {
 	if err := DecodeStrict(order, &f); err != nil {
 		return Faults{}, fmt.Errorf("malformed fault order: %w", err)
@@ -56,7 +60,7 @@
 	return f, f.Validate()
 }
 
-// Validate tells the first value that is out of range.
+// Validate returns an error if a value is out of range.
 func (f Faults) Validate() error {
 	if f.Gaps < 0 || f.Gaps > 1 {
 		return fmt.Errorf("gaps must lie between 0 and 1, not %v", f.Gaps)
--- a/internal/standin/base/host.go
+++ b/internal/standin/base/host.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrListen is wrapped when an address cannot be listened on.
+// ErrListen is wrapped by errors from listening on an address.
 var ErrListen = errors.New("cannot listen")
 
 const (
@@ -24,27 +24,27 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// Common are the settings that every kind of stand-in has.
+// Common holds the settings of every kind of stand-in.
 type Common struct {
-	// AdminAddress serves the admin path also while the stand-in is crashed;
-	// empty: any free port of 127.0.0.1.
+	// AdminAddress serves the admin path, also while the stand-in is crashed. If it
+	// is empty, a free port of 127.0.0.1 is used.
 	AdminAddress string `json:"-"`
-	// Log takes what happens; nil: nobody.
+	// Log is the logger. If it is nil, nothing is logged.
 	Log *logrus.Entry `json:"-"`
-	// Faults are in force from the start.
+	// Faults is the initial set of faults.
 	Faults Faults `json:"faults"`
 }
 
-// Behaviour is what a kind of stand-in adds to a host.
+// Behaviour contains the callbacks with which a kind of stand-in extends a Host.
 type Behaviour struct {
-	// Handle serves every call but the admin path.
+	// Handle serves every call except those of the admin path.
 	Handle fasthttp.RequestHandler
-	// Applied is called after faults have changed; may be nil.
+	// Applied is called after faults have changed. It may be nil.
 	Applied func(Faults)
-	// Crashed forgets all state; may be nil. It is called once per crash,
-	// when no call can begin any more.
+	// Crashed discards all state. It is called once per crash, after the ledger
+	// has stopped accepting new runs. It may be nil.
 	Crashed func()
-	// Restarted is called before connections are taken again; may be nil.
+	// Restarted is called before connections are accepted again. It may be nil.
 	Restarted func()
 }
 
@@ -55,24 +55,24 @@
 	log       *logrus.Entry
 	ledger    Ledger
 
-	orders sync.Mutex // one change of faults at a time
-	mu     sync.Mutex // guards what follows
-	faults Faults
-	bucket Bucket
-	closed bool
-	main   *trackedListener
-	admin  *trackedListener
+	changeMu sync.Mutex // serializes changes of faults
+	mu       sync.Mutex // guards the following fields up to admin
+	faults   Faults
+	bucket   Bucket
+	closed   bool
+	main     *trackedListener
+	admin    *trackedListener
 
 	address string
 	done    chan struct{}
 }
 
-// New prepares a host; it serves from Start on.
+// New returns a host that has not been started.
 func New(common Common, behaviour Behaviour) *Host {
 	return &Host{
 		behaviour: behaviour,
 		common:    common,
-		log:       logOrNone(common.Log),
+		log:       loggerOrDiscard(common.Log),
 		done:      make(chan struct{}),
 	}
 }
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func logOrNone(log *logrus.Entry) *logrus.Entry {
+func loggerOrDiscard(log *logrus.Entry) *logrus.Entry {
 	if log != nil {
 		return log
 	}
@@ -113,19 +113,19 @@
 	return logrus.NewEntry(none)
 }
 
-// Address is where the stand-in serves, also while it is crashed.
+// Address returns the address of the stand-in, also while it is crashed.
 func (h *Host) Address() string { return h.address }
 
-// AdminAddress is where the admin path is always served.
+// AdminAddress returns the address that serves the admin path even during a crash.
 func (h *Host) AdminAddress() string { return h.admin.Addr().String() }
 
-// Ledger gives access to what ran.
+// Ledger returns the ledger of runs.
 func (h *Host) Ledger() *Ledger { return &h.ledger }
 
-// Log is the stand-in's log.
+// Log returns the logger of the stand-in.
 func (h *Host) Log() *logrus.Entry { return h.log }
 
-// Done is closed when the host is.
+// Done returns a channel that is closed when the host is closed.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
 // Faults returns the faults in force.
@@ -135,12 +135,14 @@
 	return h.faults
 }
 
-// Apply puts faults in force, all fields, and crashes or restarts as they say.
+// Apply replaces all faults, and crashes or restarts the stand-in if Crash
+// changes.
 func (h *Host) Apply(next Faults) error {
 	return h.change(func(Faults) (Faults, error) { return next, next.Validate() })
 }
 
-// TakeRate spends one call of the rate; over it, it answers 429 and is false.
+// TakeRate counts one call against the rate limit. If the limit is exceeded, it
+// answers 429 and returns false.
 func (h *Host) TakeRate(ctx *fasthttp.RequestCtx) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,7 +153,7 @@
 	return ok
 }
 
-// Crash crashes as the fault does; calls of the stand-in itself use it.
+// Crash crashes the stand-in from its own code, with the same effect as the fault.
 func (h *Host) Crash() {
 	err := h.change(func(f Faults) (Faults, error) { f.Crash = true; return f, nil })
 	if err != nil {
@@ -159,7 +161,7 @@
 	}
 }
 
-// Close stops serving and drops every connection.
+// Close stops serving and closes every connection.
 func (h *Host) Close() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,8 +174,8 @@
 }
 
 func (h *Host) change(edit func(Faults) (Faults, error)) error {
-	h.orders.Lock()
-	defer h.orders.Unlock()
+	h.changeMu.Lock()
+	defer h.changeMu.Unlock()
 	before := h.Faults()
 	next, err := edit(before)
 	if err != nil {
@@ -205,7 +207,7 @@
 	if h.behaviour.Crashed != nil {
 		h.behaviour.Crashed()
 	}
-	h.ledger.closeOpen()
+	h.ledger.endOpenRuns()
 }
 
 func (h *Host) restart() error {
@@ -239,14 +241,14 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// handle serves the main address: admin path, then the faults that all
-// stand-ins share, then the stand-in itself.
+// handle serves the main address. It handles the admin path, applies the faults
+// common to all stand-ins, and then calls the handler of the stand-in.
 func (h *Host) handle(ctx *fasthttp.RequestCtx) {
 	if isAdmin(ctx) {
 		h.handleAdmin(ctx)
 		return
 	}
-	ctx.SetUserValue(incarnationKey, h.ledger.current())
+	ctx.SetUserValue(incarnationKey, h.ledger.currentIncarnation())
 	f := h.Faults()
 	if f.SlowMS > 0 && !h.Pause(time.Duration(f.SlowMS)*time.Millisecond) {
 		return
@@ -261,8 +263,8 @@
 	}
 }
 
-// Admits answers the refusal that the faults order, if any, and enters it in the
-// ledger.
+// Admits reports whether the faults let requests through. If not, it rejects the
+// request and counts it in the ledger.
 func (h *Host) Admits(ctx *fasthttp.RequestCtx) bool {
 	f := h.Faults()
 	switch {
@@ -273,11 +275,11 @@
 	default:
 		return true
 	}
-	h.ledger.turnAway()
+	h.ledger.countRejected()
 	return false
 }
 
-// Pause waits; false when the host was closed meanwhile.
+// Pause waits for d and returns true, or returns false once the host is closed.
 func (h *Host) Pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/standin/base/lagged.go
+++ b/internal/standin/base/lagged.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Lagged is a value that is read as it was some time ago. Not safe for
-// concurrent use.
+// Lagged keeps past versions of a value, so that it can be read as it was some
+// time ago. It is not safe for concurrent use.
 type Lagged[T any] struct {
 	versions []version[T]
 }
@@ -13,17 +13,17 @@
 	value T
 }
 
-// Set changes the value at now; versions that a reader with the given lag can
-// no longer see are forgotten.
+// Set changes the value at now. It removes versions that are no longer visible to
+// a reader with the given lag.
 func (l *Lagged[T]) Set(now time.Time, lag time.Duration, value T) {
 	l.versions = append(l.versions, version[T]{at: now, value: value})
-	seen := now.Add(-lag)
-	for len(l.versions) > 1 && !l.versions[1].at.After(seen) {
+	oldestVisible := now.Add(-lag)
+	for len(l.versions) > 1 && !l.versions[1].at.After(oldestVisible) {
 		l.versions = l.versions[1:]
 	}
 }
 
-// At returns the value as it was at a time; the zero value before the first.
+// At returns the value as it was at time t, or the zero value if none was set.
 func (l *Lagged[T]) At(t time.Time) T {
 	var value T
 	for _, v := range l.versions {
@@ -35,5 +35,5 @@
 	return value
 }
 
-// Reset forgets everything.
+// Reset removes all versions.
 func (l *Lagged[T]) Reset() { l.versions = nil }
--- a/internal/standin/base/ledger.go
+++ b/internal/standin/base/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Run is one entry of the ledger; times are Unix milliseconds.
+// Run is one record of the ledger. Times are in Unix milliseconds.
 type Run struct {
 	ID                   string `json:"id"`
 	Key                  string `json:"key"`
@@ -24,35 +24,36 @@
 	Tokens               int    `json:"tokens"`
 }
 
-// LedgerReport is the answer of /admin/ledger. Incarnation counts starts, from 1.
+// LedgerReport is the answer to /admin/ledger. Incarnation counts
+// process starts, from 1.
 type LedgerReport struct {
 	Incarnation int   `json:"incarnation"`
 	Runs        []Run `json:"runs"`
-	// TurnedAway counts requests refused by the orders "leaving" and "refuse",
-	// LastTurnedAwayMS is when the last of them came.
+	// TurnedAway is the number of requests rejected because of the faults "leaving"
+	// and "refuse". LastTurnedAwayMS is the time of the last one.
 	TurnedAway       int   `json:"turned_away"`
 	LastTurnedAwayMS int64 `json:"last_turned_away_ms"`
 }
 
-// Ledger records what ran. It is the tester's and survives crashes.
+// Ledger records all runs for use by tests. It is kept across crashes.
 type Ledger struct {
-	mu          sync.Mutex
-	incarnation int
-	down        bool
-	runs        []Run
-	turnedAway  int
-	lastAwayMS  int64
+	mu             sync.Mutex
+	incarnation    int
+	down           bool
+	runs           []Run
+	rejected       int
+	lastRejectedMS int64
 }
 
-// Ticket names a run of the ledger.
+// Ticket identifies a run in the ledger.
 type Ticket int
 
-// incarnationKey holds the incarnation that took a call, in the call's context.
+// incarnationKey is the context key of the incarnation that accepted a call.
 const incarnationKey = "incarnation"
 
-// Begin records that a call starts to run. It is false when the process that
-// took the call has crashed since: nothing may run then, or a run would appear
-// that no caller could ever have asked the new process for.
+// Begin records the start of a run. It returns false if the process that accepted
+// the call has crashed since. The call must not run then, because the ledger would
+// contain a run that no caller has requested from the new process.
 func (l *Ledger) Begin(ctx *fasthttp.RequestCtx, id string) (Ticket, bool) {
 	sum := sha256.Sum256(ctx.PostBody())
 	run := Run{
@@ -70,8 +71,8 @@
 	return Ticket(len(l.runs) - 1), true
 }
 
-// End closes a run; fill sets what is known of it. A run that is closed already
-// stays as it is: a crash came first.
+// End ends a run, with its results set by fill. A run that has already been ended
+// by a crash does not change.
 func (l *Ledger) End(ticket Ticket, fill func(*Run)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,24 +84,24 @@
 	run.EndedMS = time.Now().UnixMilli()
 }
 
-// Report copies the ledger.
+// Report returns a copy of the ledger.
 func (l *Ledger) Report() LedgerReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return LedgerReport{
 		Incarnation: l.incarnation, Runs: append([]Run{}, l.runs...),
-		TurnedAway: l.turnedAway, LastTurnedAwayMS: l.lastAwayMS,
+		TurnedAway: l.rejected, LastTurnedAwayMS: l.lastRejectedMS,
 	}
 }
 
-func (l *Ledger) turnAway() {
+func (l *Ledger) countRejected() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turnedAway++
-	l.lastAwayMS = time.Now().UnixMilli()
+	l.rejected++
+	l.lastRejectedMS = time.Now().UnixMilli()
 }
 
-func (l *Ledger) current() int {
+func (l *Ledger) currentIncarnation() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation
@@ -113,14 +114,14 @@
 	l.incarnation++
 }
 
-// stop lets nothing more begin; closeOpen then ends what ran, incomplete.
+// stop prevents new runs. endOpenRuns then ends the current runs as incomplete.
 func (l *Ledger) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = true
 }
 
-func (l *Ledger) closeOpen() {
+func (l *Ledger) endOpenRuns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now().UnixMilli()
--- a/internal/standin/base/listener.go
+++ b/internal/standin/base/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// trackedListener knows its connections, so that a crash can drop them.
+// trackedListener tracks its connections, so that a crash can close them.
 type trackedListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -26,8 +26,8 @@
 	return &trackedListener{Listener: inner, conns: make(map[*trackedConn]struct{})}, nil
 }
 
-// Accept implements net.Listener. A connection that arrives during the crash is
-// closed here, or it would outlive the crash.
+// Accept implements net.Listener. It closes a connection that arrives during a
+// crash, which would otherwise remain open after the crash.
 func (l *trackedListener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -44,7 +44,7 @@
 	return conn, nil
 }
 
-// Close refuses new connections and drops the open ones.
+// Close stops accepting connections and closes the open ones.
 func (l *trackedListener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
