--- a/cmd/sycamore-standin/layout.go
+++ b/cmd/sycamore-standin/layout.go
@@ -10,7 +10,8 @@
 	"sycamoretrail/internal/standin/layout"
 )
 
-// layoutCommand writes the settings of a whole deployment on loopback.
+// layoutCommand returns the command that writes the settings files of a
+// deployment on loopback.
 func layoutCommand() *cobra.Command {
 	var (
 		path string
--- a/cmd/sycamore-standin/main.go
+++ b/cmd/sycamore-standin/main.go
@@ -1,5 +1,6 @@
-// Command sycamore-standin runs stand-ins for what lies outside sycamoretrail:
-// engines, plain services, log, instance list and weight store.
+// Command sycamore-standin runs stand-ins for the external components that
+// sycamoretrail depends on: engines, plain services, log, instance list and
+// weight store.
 package main
 
 import (
