--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -187,7 +187,7 @@
 	c.expires = c.arrived.Add(limit)
 }
 
-// computeFingerprint returns a hash of what repeated attempts of one request have in common:
+// formFingerprint returns a hash of what repeated attempts of one request have in common:
 // organisation, request URI and body.
 func (c *call) formFingerprint() crashes.Fingerprint {
 	digest := xxhash.New()
--- a/internal/gateway/digest.go
+++ b/internal/gateway/digest.go
@@ -21,7 +21,7 @@
 
 const (
 	// digestPause is the interval of a relay's digests. Eight of them fall within the time
-	// after which entries count as silent: with a loss of a twentieth of all datagrams, none
+	// after which entries count as unresponsive: with a loss of a twentieth of all datagrams, none
 	// of 195 entries misses all of them in 20 s.
 	digestPause = 500 * time.Millisecond
 	// pressingPause is the interval while an organisation is close to its quota: an
@@ -60,7 +60,7 @@
 // sendDigests sends the digests to one entry of each other cell. Which entry it is changes
 // with each round and differs by the sender's cell: if one entry had to forward the digests of
 // all cells at once, its link would be saturated and drop most of them, and live cells would
-// appear silent.
+// appear unresponsive.
 func (l *links) sendDigests(cells *peerset.Cells, round int) {
 	organisations, statuses, complete := l.statuses()
 	digests, err := gossip.Digests(organisations, statuses)
--- a/internal/gateway/entriesfeed.go
+++ b/internal/gateway/entriesfeed.go
@@ -59,7 +59,7 @@
 }
 
 // requestEntries triggers a read of the register of entries because another entry named an
-// unknown one, whose first heartbeat was lost. It does so at most once per entriesLeast.
+// unknown one, whose first heartbeat was lost. It does so at most once per minEntriesPause.
 func (f *feeds) requestEntries() {
 	now := time.Now().UnixNano()
 	last := f.entriesReadAt.Load()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -288,7 +288,7 @@
 }
 
 const (
-	// housekeepEvery is the interval of checks for idle connections and silent peers.
+	// housekeepEvery is the interval of checks for idle connections and unresponsive peers.
 	housekeepEvery = time.Second
 	// gaugesEvery is the interval of updates of the gauges, that of some collectors: updated
 	// each second, the use of quotas over all entries took a quarter of an idle entry's
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -139,8 +139,8 @@
 	l.updateCells()
 }
 
-// heartbeatReceivers returns the receivers of this heartbeat: the cell and one silent entry,
-// or all entries if there is one cell only or this is an announcement.
+// heartbeatReceivers returns the receivers of this heartbeat: the cell and one
+// unresponsive entry, or all entries if there is one cell only or this is an announcement.
 func (l *links) heartbeatReceivers() []peerset.Entry {
 	l.heartbeatCount++
 	peers := l.gateway.state.peers
@@ -260,7 +260,7 @@
 	l.gateway.state.quota.SetListed(true)
 }
 
-// prune removes entries that have been silent for long.
+// prune removes entries that have been unresponsive for long.
 func (l *links) prune() {
 	l.gateway.state.mutex.Lock()
 	removed := l.gateway.state.peers.Prune(time.Now())
--- a/internal/gateway/rotation.go
+++ b/internal/gateway/rotation.go
@@ -9,8 +9,8 @@
 
 // Heartbeats, digests and load reports are one datagram each. The totals of some fifty
 // organisations fill one, and a message that does not fit is not sent: entries with more
-// organisations would take each other for silent. So a message contains as many totals as fit,
-// and the next message continues where it stopped. What an entry has received on an
+// organisations would take each other for unresponsive. So a message contains as many totals as
+// fit, and the next message continues where it stopped. What an entry has received on an
 // organisation is then older by the number of messages that all totals take.
 
 const (
--- a/internal/gateway/rotation_test.go
+++ b/internal/gateway/rotation_test.go
@@ -39,8 +39,8 @@
 }
 
 // Callers of two thousand organisations use an entry. A heartbeat with all totals does not fit
-// a datagram and would not be sent at all; the entries would take each other for silent, and
-// each would refuse what all might have used. So each heartbeat contains the totals that fit,
+// a datagram and would not be sent at all; the entries would take each other for unresponsive,
+// and each would refuse what all might have used. So each heartbeat contains the totals that fit,
 // and after some heartbeats all totals have been sent.
 func TestHeartbeatsOfManyOrganisationsAreSent(t *testing.T) {
 	w := NewWithT(t)
@@ -60,7 +60,7 @@
 }
 
 // The same for the digests that a relay sends to other cells: if a status with all totals did
-// not fit, no digest would be sent, and whole cells would appear silent to each other.
+// not fit, no digest would be sent, and whole cells would appear unresponsive to each other.
 func TestDigestsOfManyOrganisationsAreSent(t *testing.T) {
 	for _, form := range []string{longNames, shortNames} {
 		w := NewWithT(t)
--- a/internal/gateway/suspend.go
+++ b/internal/gateway/suspend.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// suspensionCheck is the interval at which the clocks are compared, suspensionLeast the
-	// smallest difference that counts as a suspension: scheduling alone causes some
-	// milliseconds.
+	// suspensionCheck is the interval at which the clocks are compared, minSuspension the smallest
+	// difference that counts as a suspension: scheduling alone causes some milliseconds.
 	suspensionCheck = 200 * time.Millisecond
 	minSuspension   = 300 * time.Millisecond
 	clockBoottime   = 7
