--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -26,11 +26,12 @@
 
 const (
 	// backoffFirst and backoffMax bound the pause after a failed call. The first pause is
-	// short, since a single lost answer is the most common failure. A reader without a
-	// first snapshot always uses backoffFirst: it cannot serve requests without one.
+	// short, since a single lost answer is the most common failure. A reader that
+	// requires a snapshot always uses backoffFirst: until it has one, it has no updates to
+	// send to the other entries, and an entry that is starting has no targets.
 	backoffFirst = 100 * time.Millisecond
 	backoffMax   = 800 * time.Millisecond
-	// backoffStart is the pause between attempts to read the first snapshot at entries
+	// backoffStart is the pause between attempts to read a required snapshot at entries
 	// that are not the reader. With backoffFirst, eighty entries would make ten calls a
 	// second each, an excessive load on the log during an outage.
 	backoffStart = 400 * time.Millisecond
