--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -9,7 +9,7 @@
 	"sycamoretrail/internal/gossip"
 )
 
-// loadReport returns the load loadReport of an entry with four requests at the ten targets of its
+// loadReport returns the load report of an entry with four requests at the ten targets of its
 // cell, with the totals of some organisations.
 func loadReport(organisations int) *gossip.Message {
 	load := &gossip.Load{InFlight: map[string]int{}, Reading: map[string]int{}, Waiting: map[string]uint32{}}
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -19,8 +19,8 @@
 }
 
 // Status is the latest status that an entry has reported. It has no addresses, which would
-// take up a third of the datagram: they are in the list of entries and in the heartbeat
-// that an entry sends at its start.
+// take up a third of the datagram: they are in the register of entries and in the
+// heartbeat that an entry sends at its start.
 type Word struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
