--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Targets runs requests at targets. Apart from Close its methods never block, so that the
-// core's loop may call them.
+// Targets runs requests at targets. Apart from Watch and Close its methods never block, so
+// that the core's loop may call them.
 type Targets struct {
 	cfg     Config
 	outbox  *outbox
