--- a/internal/callers/completion.go
+++ b/internal/callers/completion.go
@@ -59,7 +59,7 @@
 
 // readCompletion validates a completion and returns its request and its flight.
 func (s *Server) readCompletion(c *call) (request.Request, *flight.Flight, error) {
-	// The connection reuses its buffer after the handler returns; the flight lives on.
+	// The connection reuses its buffer after the handler returns; the flight is used longer.
 	body := append([]byte(nil), c.ctx.PostBody()...)
 	var in completionBody
 	if err := json.Unmarshal(body, &in); err != nil {
