--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -34,8 +34,8 @@
 
 // GatewayBounds are the operators' guarantees that the process must meet.
 type GatewayBounds struct {
-	// DrainMS is the time from the announcement that a target is leaving to the last
-	// request that may be sent to it.
+	// DrainMS is the time from the write that marks a target as leaving in the register to
+	// the last request that may be sent to it.
 	DrainMS int `json:"drain_ms"`
 	// ConfigurationMS is the time within which a new configuration must be in force.
 	ConfigurationMS int `json:"configuration_ms"`
