--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -65,7 +65,7 @@
 	// OperatorTokenSHA256 is the hex SHA-256 of the operators' bearer token. The
 	// console stores no token; it forwards the one that the operator logged in with.
 	OperatorTokenSHA256 string `json:"operator_token_sha256"`
-	// Log lists base URLs of the log, to show what was published when no entry answers.
+	// Log lists base URLs of the log. The pages show whether one of them answers.
 	Log []string `json:"log"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level"`
