--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -76,7 +76,7 @@
 	Began time.Time
 }
 
-// Bounds are the limits set by the operators that a roll-out has to keep.
+// Bounds are the limits set by the operators within which a roll-out has to stay.
 type Bounds struct {
 	// ExposureShare is the share of a service's requests, between order and deadline, that a
 	// bad version may receive.
--- a/internal/core/rollout/simulation_test.go
+++ b/internal/core/rollout/simulation_test.go
@@ -418,7 +418,7 @@
 	m.broadcast(e, d.Action == rollout.RollBack)
 }
 
-// write stores the next phase, unless the store already has a later one.
+// write stores the next phase, unless the store already has this, a later or a final one.
 func (m *sim) write(e *entry, d rollout.Decision) {
 	if m.writing {
 		return
--- a/internal/core/rollout/versions.go
+++ b/internal/core/rollout/versions.go
@@ -10,7 +10,7 @@
 // Versions decides which versions of a service's targets may be used without an order.
 //
 // Servers of a new version start right after the order to move to it. An entry may discover
-// them before it reads the order, because the target list and the orders arrive separately,
+// them before it reads the order, because the registry and the orders are read separately,
 // and would then send them their full share of the traffic. A version that appears beside
 // others is therefore held back until the orders have been read up to a moment after its
 // appearance. If there is no order for it by then, it is used.
