--- a/internal/core/quota/peers.go
+++ b/internal/core/quota/peers.go
@@ -72,7 +72,8 @@
 	Name string
 	// Started is when its present incarnation started, on this entry's clock.
 	Started time.Time
-	// Unresponsive: nothing has been received from it within the heartbeat timeout.
+	// Unresponsive: nothing has been received from it within the failure-detection
+	// timeout.
 	Silent bool
 }
 
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -395,7 +395,7 @@
 	g.Expect(l.Admit(now, organisation, 100, 0).Admitted).To(BeFalse())
 }
 
-// All entries are killed and restart while the list of entries cannot be read, and an
+// All entries are killed and restart while the registry of entries cannot be read, and an
 // organisation sends many times its typical load. No entry has peers; if each assumed
 // that it was the only one, it would admit the whole quota.
 func TestEntriesWithoutPeerListShareTheQuota(t *testing.T) {
