--- a/internal/core/peerset/cells_test.go
+++ b/internal/core/peerset/cells_test.go
@@ -57,7 +57,7 @@
 	return f
 }
 
-// start starts an entry's process, which has read the register.
+// start starts an entry's process, which has read the registry.
 func (f *fleet) start(e *node) {
 	e.set = peerset.New(config, e.entry)
 	e.started, e.sequence, e.down = f.now, 0, false
@@ -298,8 +298,8 @@
 	g.Expect(least).To(Equal(large - 1))
 }
 
-// A relay passes on the status of an entry that is not in the register yet. Without its
-// addresses no messages can be sent to it; the caller of ApplyStatus has the register read
+// A relay passes on the status of an entry that is not in the registry yet. Without its
+// addresses no messages can be sent to it; the caller of ApplyStatus has the registry read
 // again.
 func TestRelayedStatusOfAnUnknownEntry(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/core/peerset/peerset.go
+++ b/internal/core/peerset/peerset.go
@@ -1,5 +1,5 @@
 // Package peerset tracks the other entries: which are live, to which callers may be sent,
-// and which may still be serving without contact. The register of entries only provides the
+// and which may still be serving without contact. The registry of entries only provides the
 // addresses; an entry counts as live only by the messages received from it. Entries are
 // divided into cells: the entries of a cell exchange messages directly, and those of other
 // cells are reached through relays, so that the messages for membership do not grow with the
@@ -49,7 +49,7 @@
 	// may be lost.
 	RelayedSilence time.Duration
 	// Removal is the time without contact after which an entry no longer counts as one that
-	// may be serving: instances are replaced for good without notice.
+	// may be serving: instances are replaced permanently without notice.
 	Removal time.Duration
 }
 
@@ -113,7 +113,7 @@
 	return &Set{config: config, self: self, members: make(map[string]*Member)}
 }
 
-// Registered adds an entry from the register. It is not live before there is contact.
+// Registered adds an entry from the registry. It is not live before there is contact.
 func (s *Set) Registered(now time.Time, entry Entry) {
 	if entry.Name == s.self.Name {
 		return
--- a/internal/core/peerset/peerset_test.go
+++ b/internal/core/peerset/peerset_test.go
@@ -30,7 +30,7 @@
 
 func newSet() *peerset.Set { return peerset.New(config, entry("self", 1)) }
 
-// The register has an entry that ended long ago. Callers must not be sent there.
+// The registry has an entry that ended long ago. Callers must not be sent there.
 func TestRegisteredEntryIsNotServingBeforeContact(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
