--- a/internal/core/membership/peer.go
+++ b/internal/core/membership/peer.go
@@ -55,8 +55,8 @@
 	return now.Sub(m.sentAt(p.echoed)) <= m.Silence()
 }
 
-// counts reports whether the peer counts for the quorum, for which Quorum requires an
-// exchange of heartbeats with more than half of all members that count.
+// counts reports whether the peer counts for the quorum; see Quorum. It does not if its
+// process is proven to have ended, or after the removal time without contact.
 func (m *Membership) counts(now time.Time, p *peer) bool {
 	if p.terminated {
 		return false
