--- a/internal/core/owner/seed_test.go
+++ b/internal/core/owner/seed_test.go
@@ -6,7 +6,7 @@
 	_ "pgregory.net/rapid" // declares the flag
 )
 
-// A fixed seed, so that every run of CI tries the same cases; -rapid.seed on the
+// A fixed seed makes every run of CI try the same cases; -rapid.seed on the
 // command line tries others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
