--- a/internal/core/routing/available.go
+++ b/internal/core/routing/available.go
@@ -2,7 +2,7 @@
 
 // availableFilter drops targets that accept no new requests: those that leave according
 // to the document, those that probes found unreachable or leaving, and those whose
-// digest says that they are unavailable.
+// digest reports them as unavailable.
 type availableFilter struct{}
 
 func (availableFilter) keep(_ *query, c *candidate) bool {
--- a/internal/core/routing/target.go
+++ b/internal/core/routing/target.go
@@ -112,7 +112,8 @@
 	// wait is the wait for a slot in the lowest tier, waits by tier if available.
 	wait  float64
 	waits []time.Duration
-	// ownPlacements is the assumed number of offers and dispatches since the digest.
+	// ownPlacements is the assumed number of offers and dispatches since the digest, by
+	// this owner and the similar ones.
 	ownPlacements int
 	// age is the age of the digest; 0 without a digest.
 	age float64
