--- a/internal/core/acceptance/acceptance.go
+++ b/internal/core/acceptance/acceptance.go
@@ -201,8 +201,9 @@
 
 // evaluate evaluates a publication against the document in force before it. Only
 // that document's version and id matter, and a renewal contains both, so a reader
-// that starts at a renewal decides like one of the whole log. A copy of an
-// accepted document cannot be accepted again: its base is below its version.
+// that starts at a renewal makes the same decisions as a reader of the whole log.
+// A copy of an accepted document cannot be accepted again: its base is below its
+// version.
 func (a *Acceptance) evaluate(p publication) Verdict {
 	v := Verdict{Version: a.version, DocumentID: p.doc.ID}
 	if p.doc.Base != a.version {
--- a/internal/core/acceptance/catchup.go
+++ b/internal/core/acceptance/catchup.go
@@ -56,7 +56,7 @@
 	a.evaluatePending()
 }
 
-// Adopt puts the document in force at a peer in force here. It is called at a
+// Adopt applies the document that is in force at a peer. It is called at a
 // start while the log is unavailable, when a peer's version is higher, or while
 // this reader is not certain. A version that is not higher is ignored. The document
 // is parsed but not checked again, since it was checked when it was accepted.
