--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -212,7 +212,8 @@
 }
 
 // Running lists runs of an entry at targets that the addressee schedules: all
-// of them (Full) after a takeover, otherwise one that has progressed.
+// of them (Full) after a takeover, otherwise one that has just
+// been dispatched or has begun to answer.
 type Running struct {
 	Full bool         `cbor:"1,keyasint,omitempty"`
 	Runs []RunningOne `cbor:"2,keyasint"`
