--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -53,7 +53,7 @@
 	Through int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Claim associates an idempotency key with a request.
+// Claim is a request's claim to run for an idempotency key; see package claims.
 type Claim struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
