--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -303,7 +303,8 @@
 				}
 			}
 		}
-		// Four or five to each of 409: the first at once, the second early.
+		// Each of the 409 peers gets four or five heartbeats: the first at once, the second
+		// before a full interval has passed.
 		Expect(beats).To(BeNumerically("~", 4.75*409, 409))
 		Expect(near).To(BeNumerically(">=", 4*136))
 		Expect(far).To(BeNumerically("<=", 2*273))
