--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -20,7 +20,7 @@
 //   - when two entries regain contact, what the other reports of the window is a lower
 //     bound of the usage.
 //
-// Time is an argument. A Limiter is not safe for concurrent use.
+// Time is passed as an argument. A Limiter is not safe for concurrent use.
 package quota
 
 import (
