--- a/internal/core/routing/finish.go
+++ b/internal/core/routing/finish.go
@@ -63,7 +63,7 @@
 	return wait * q.tierWaitShare
 }
 
-// inTime reports whether the estimate meets both bounds of the request.
+// inTime reports whether the estimate meets both deadlines of the request.
 func (c *candidate) inTime(q *query) bool {
 	return c.first <= q.firstTokenRemaining && c.finish <= q.remaining
 }
