--- a/internal/replay/faults/callers.go
+++ b/internal/replay/faults/callers.go
@@ -143,7 +143,7 @@
 // as soon as the last answer is there.
 func (p *play) sendPoison() error {
 	line := question(0, 50)
-	line.Poison = true
+	line.CrashesTarget = true
 	t := &trace.Trace{Header: p.trace.Header, Lines: []trace.Line{line}}
 	for n := range poisonSendings {
 		options := p.options(t)
--- a/internal/replay/live/body.go
+++ b/internal/replay/live/body.go
@@ -52,7 +52,7 @@
 		own = max(own-p.Tokens, 1)
 	}
 	question := text(t.Header.Seed<<32+uint64(source), own)
-	if line.Poison {
+	if line.CrashesTarget {
 		question = PoisonText + " " + question
 	}
 	chat.Messages = append(chat.Messages, chatMessage{Role: "user", Content: question})
--- a/internal/replay/outcomes/outcomes.go
+++ b/internal/replay/outcomes/outcomes.go
@@ -1,4 +1,4 @@
-// Package outcomes holds a replay's report against stated outcomes.
+// Package outcomes checks the report of a replay against stated outcomes.
 package outcomes
 
 import (
@@ -16,18 +16,19 @@
 // ErrMalformed is wrapped by every error of Read.
 var ErrMalformed = errors.New("malformed outcomes file")
 
-// Bound is what one figure must keep to; a nil side is open.
+// Bound is the allowed range of one figure. A nil side is unbounded.
 type Bound struct {
 	Min *float64 `json:"min,omitempty"`
 	Max *float64 `json:"max,omitempty"`
 }
 
-// Stated maps a figure to its bound. A figure is a key of the report's JSON,
+// Stated maps figures to their bounds. A figure is a key of the report's JSON,
 // with dots for nested keys: "unanswered", "goodput.rider", "ttft_ms.rider.p99".
 // "wasted_prefill_share" is wasted_prefill_tokens / prefill_tokens.
 type Stated map[string]Bound
 
-// wastedShare is the one figure that is not in the report itself.
+// wastedShare is the only figure that is computed here instead of read from the
+// report.
 const wastedShare = "wasted_prefill_share"
 
 // Failure is a stated outcome that does not hold.
@@ -38,7 +39,7 @@
 
 func (f Failure) String() string { return f.Figure + ": " + f.Detail }
 
-// Read reads and checks an outcomes file.
+// Read reads and validates an outcomes file.
 func Read(path string) (Stated, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -47,8 +48,8 @@
 	return Parse(data)
 }
 
-// Parse reads outcomes from JSON. A bound with neither side states nothing, so
-// it is taken for a mistake.
+// Parse parses and validates outcomes in JSON. A bound with neither side is
+// rejected, since it has no effect.
 func Parse(data []byte) (Stated, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
@@ -62,13 +63,13 @@
 		}
 	}
 	if len(stated) == 0 {
-		return nil, fmt.Errorf("%w: it states nothing", ErrMalformed)
+		return nil, fmt.Errorf("%w: no outcomes stated", ErrMalformed)
 	}
 	return stated, nil
 }
 
-// Check returns every stated outcome that does not hold, in order of figures. A
-// figure that the report lacks fails: an outcome nobody measured does not hold.
+// Check returns the stated outcomes that do not hold, ordered by figure. A figure
+// that is missing from the report fails.
 func (s Stated) Check(r *report.Report) ([]Failure, error) {
 	data, err := r.Bytes()
 	if err != nil {
@@ -88,14 +89,14 @@
 			failures = append(failures, Failure{figure, "not in the report"})
 			continue
 		}
-		if detail := s[figure].fault(value); detail != "" {
+		if detail := s[figure].violation(value); detail != "" {
 			failures = append(failures, Failure{figure, detail})
 		}
 	}
 	return failures, nil
 }
 
-func (b Bound) fault(value float64) string {
+func (b Bound) violation(value float64) string {
 	if b.Min != nil && value < *b.Min {
 		return fmt.Sprintf("%g is below %g", value, *b.Min)
 	}
--- a/internal/replay/outcomes/outcomes_test.go
+++ b/internal/replay/outcomes/outcomes_test.go
@@ -36,7 +36,7 @@
 		Entry("not measured", `{"goodput.driver":{"min":0.1}}`, "goodput.driver"),
 	)
 
-	DescribeTable("are refused when they state nothing",
+	DescribeTable("are rejected when they state nothing",
 		func(text string) {
 			_, err := Parse([]byte(text))
 			Expect(err).To(MatchError(ErrMalformed))
--- a/internal/replay/trace/capacity.go
+++ b/internal/replay/trace/capacity.go
@@ -6,17 +6,17 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// Mix is the mean request that capacity is worked out for.
+// Mix is the mean request for which capacity is computed.
 type Mix struct {
 	PromptTokens float64
-	// CachedTokens of the prompt are taken from the engine's prefix cache.
+	// CachedTokens is the part of the prompt served from the engine's prefix cache.
 	CachedTokens float64
 	AnswerTokens float64
 }
 
-// EngineRate is how many requests of the mix a second one target of the class
-// completes when its batch is full. An engine spends its time on prefill and on
-// steps that serve the whole batch, so a request costs
+// EngineRate returns the requests per second of the mix that one target of the
+// class completes when its batch is full. An engine spends its time on prefill
+// and on steps that serve the whole batch, so a request costs
 // (prompt − cached) / prefill_rate + answer × step / max_in_flight seconds.
 func EngineRate(class *document.Class, mix Mix) float64 {
 	if class.PrefillRate <= 0 || class.MaxInFlight <= 0 {
@@ -27,10 +27,10 @@
 	return 1 / (prefill + steps)
 }
 
-// DefaultServiceMS is a plain call's time where its class gives no step_ms.
+// DefaultServiceMS is the duration of a service call whose class has no step_ms.
 const DefaultServiceMS = 5
 
-// ServiceMS is the time of one call at a plain service, in ms.
+// ServiceMS returns the duration of one call to a plain service, in ms.
 func ServiceMS(class *document.Class) float64 {
 	if class.StepMS > 0 {
 		return class.StepMS
@@ -38,13 +38,13 @@
 	return DefaultServiceMS
 }
 
-// ServiceRate is how many calls a second one plain service serves.
+// ServiceRate returns the calls per second that one plain service target serves.
 func ServiceRate(class *document.Class) float64 {
 	return float64(max(class.MaxInFlight, 1)) * 1000 / ServiceMS(class)
 }
 
-// Capacity is the sum of EngineRate over the engines of a pool, in requests a
-// second; targets marked as leaving count for nothing.
+// Capacity returns the sum of EngineRate over the engines of a pool, in requests
+// per second. Targets marked as leaving are excluded.
 func Capacity(doc *document.Document, pool string, mix Mix) float64 {
 	total := 0.0
 	for i := range doc.Targets {
@@ -58,14 +58,14 @@
 	return total
 }
 
-// CapacityNote says in words how the load factor was worked out.
+// CapacityNote describes how the capacity at load factor 1 was computed.
 func CapacityNote(pool string, mix Mix, rate float64) string {
 	return fmt.Sprintf("pool %s: %.1f requests/s at load 1, for a mean prompt of %.0f tokens (%.0f cached) and answer of %.0f; "+
 		"per engine 1/((prompt-cached)/prefill_rate + answer*step/max_in_flight)",
 		pool, rate, mix.PromptTokens, mix.CachedTokens, mix.AnswerTokens)
 }
 
-// ClassOf finds a class by its name; nil: there is none.
+// ClassOf returns the class with the given name, or nil if there is none.
 func ClassOf(doc *document.Document, name string) *document.Class {
 	for i := range doc.Classes {
 		if doc.Classes[i].Name == name {
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// PoolOf finds the pool that serves a line's model or service; empty: none.
+// PoolOf returns the pool that serves the line's model or service, or "" if there
+// is none.
 func PoolOf(doc *document.Document, line *Line) string {
 	if line.Kind == Engine {
 		if model := modelOf(doc, line.Model); model != nil {
--- a/internal/replay/trace/generate.go
+++ b/internal/replay/trace/generate.go
@@ -18,31 +18,32 @@
 	ErrDocument   = errors.New("document cannot carry the workload")
 )
 
-// Options are what a generated trace depends on, besides the document.
+// Options are the parameters of a generated trace, in addition to the document.
 type Options struct {
 	Deployment Deployment
 	Seed       uint64
 	// Load is the mean engine demand as a multiple of the pool's capacity.
 	Load float64
-	// Seconds over which requests arrive.
+	// Seconds is the time over which requests arrive.
 	Seconds  float64
 	Scenario Scenario
 }
 
-// generator holds what one Generate call works with.
+// generator is the state of one Generate call.
 type generator struct {
 	options  Options
 	document *document.Document
-	work     workload
+	workload workload
 	random   *rand.Rand
 	model    document.Model
 	service  document.Service
-	// rate is engine requests a second at the options' load.
+	// rate is the engine requests per second at the requested load.
 	rate  float64
 	lines []Line
 }
 
-// Generate makes a trace; the same options and document give the same trace.
+// Generate generates a trace. It is deterministic: the same options and document
+// give the same trace.
 func Generate(doc *document.Document, options Options) (*Trace, error) {
 	g, err := newGenerator(doc, options)
 	if err != nil {
@@ -53,8 +54,8 @@
 		return nil, fmt.Errorf("%w: pool %q has no engine with a prefill rate", ErrDocument, g.model.Pool)
 	}
 	g.rate = capacity * options.Load
-	for i := range g.work.streams {
-		if err := g.addStream(&g.work.streams[i]); err != nil {
+	for i := range g.workload.streams {
+		if err := g.addStream(&g.workload.streams[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -76,9 +77,9 @@
 	g := &generator{options: options, document: doc, random: rand.New(rand.NewPCG(options.Seed, 0))}
 	switch options.Deployment {
 	case Tanglaw:
-		g.work = tanglaw()
+		g.workload = tanglaw()
 	case Quebracho:
-		g.work = quebracho()
+		g.workload = quebracho()
 	default:
 		return nil, fmt.Errorf("%w: %q", ErrDeployment, options.Deployment)
 	}
@@ -90,12 +91,12 @@
 	return g, nil
 }
 
-// mix is the mean engine request of the workload. The whole blocks of a shared
-// prefix count as cached, which holds once each engine has seen them.
+// mix returns the mean engine request of the workload. The complete blocks of a
+// shared prefix count as cached, which holds once each engine has computed them.
 func (g *generator) mix() Mix {
 	var mix Mix
-	for i := range g.work.streams {
-		s := &g.work.streams[i]
+	for i := range g.workload.streams {
+		s := &g.workload.streams[i]
 		if s.kind != Engine {
 			continue
 		}
@@ -106,17 +107,17 @@
 	return mix
 }
 
-// addStream adds a stream's arrivals: a Poisson process whose rate follows the
-// bursts while its mean over time stays weight × rate.
+// addStream adds the arrivals of a stream: a Poisson process whose rate follows
+// the bursts while its mean over time stays weight × rate.
 func (g *generator) addStream(s *stream) error {
 	mean := g.rate * s.weight
-	quiet := mean / g.meanFactor(s)
-	peak := quiet * g.peakFactor(s)
+	base := mean / g.meanFactor(s)
+	peak := base * g.peakFactor(s)
 	if peak <= 0 {
 		return nil
 	}
 	for at := g.random.ExpFloat64() / peak; at < g.options.Seconds; at += g.random.ExpFloat64() / peak {
-		if g.random.Float64()*peak >= quiet*g.factorAt(s, at) {
+		if g.random.Float64()*peak >= base*g.factorAt(s, at) {
 			continue
 		}
 		organisation, err := g.organisation(s)
@@ -128,18 +129,19 @@
 	return nil
 }
 
-// meanFactor is the mean of the bursts' factor; a shift burst is on top of it.
+// meanFactor returns the mean burst factor over time. The extra load of a shift
+// burst is not included.
 func (g *generator) meanFactor(s *stream) float64 {
 	if !s.bursty {
 		return 1
 	}
-	return 1 + (g.work.burstFactor-1)*g.work.burstSeconds/g.work.burstEvery
+	return 1 + (g.workload.burstFactor-1)*g.workload.burstSeconds/g.workload.burstEvery
 }
 
 func (g *generator) peakFactor(s *stream) float64 {
 	factor := 1.0
 	if s.bursty {
-		factor = g.work.burstFactor
+		factor = g.workload.burstFactor
 	}
 	if s.shift && g.options.Scenario == ShiftBurst {
 		factor *= ShiftFactor
@@ -149,10 +151,11 @@
 
 func (g *generator) factorAt(s *stream, at float64) float64 {
 	factor := 1.0
-	phase := at - g.work.burstEvery*float64(int(at/g.work.burstEvery))
-	// A burst ends its period, so that a short trace begins quietly.
-	if s.bursty && phase >= g.work.burstEvery-g.work.burstSeconds {
-		factor = g.work.burstFactor
+	phase := at - g.workload.burstEvery*float64(int(at/g.workload.burstEvery))
+	// The burst is at the end of its period, so that a short trace begins at the
+	// base rate.
+	if s.bursty && phase >= g.workload.burstEvery-g.workload.burstSeconds {
+		factor = g.workload.burstFactor
 	}
 	half := g.options.Seconds / 2
 	if s.shift && g.options.Scenario == ShiftBurst && at >= half && at < half+shiftSeconds {
@@ -161,7 +164,7 @@
 	return factor
 }
 
-// addScenario adds the requests that a scenario brings besides the streams.
+// addScenario adds the requests of the scenario that are not part of the streams.
 func (g *generator) addScenario(capacity float64) error {
 	switch g.options.Scenario {
 	case Usual, ShiftBurst:
@@ -175,7 +178,7 @@
 }
 
 func (g *generator) addFlood(rate float64) error {
-	s := &g.work.streams[0]
+	s := &g.workload.streams[0]
 	allowed := g.allowed(s)
 	if len(allowed) == 0 {
 		return g.noOrganisation(s)
@@ -187,13 +190,13 @@
 	return nil
 }
 
-// addBriefs adds the workload's longest stream as packs; for a workload without
-// briefs that is its stream with the longest prompts.
+// addBriefs adds packs of requests of the stream with the longest prompts, which
+// are the briefs where the workload has them.
 func (g *generator) addBriefs() error {
-	longest := &g.work.streams[0]
-	for i := range g.work.streams {
-		if g.work.streams[i].prompt.high > longest.prompt.high {
-			longest = &g.work.streams[i]
+	longest := &g.workload.streams[0]
+	for i := range g.workload.streams {
+		if g.workload.streams[i].prompt.high > longest.prompt.high {
+			longest = &g.workload.streams[i]
 		}
 	}
 	for range callPacks {
@@ -209,7 +212,7 @@
 	return nil
 }
 
-// line draws one request of a stream.
+// line draws one random request of a stream.
 func (g *generator) line(s *stream, organisation string, at float64) Line {
 	l := Line{
 		AtMS: int64(at * 1000), Organisation: organisation, Tier: g.tier(s), Kind: s.kind,
@@ -237,11 +240,12 @@
 	return g.document.Tiers[min(s.rank, len(g.document.Tiers)-1)].Name
 }
 
-// organisationShares: a few organisations bring most of the traffic.
+// organisationShares are the relative shares of traffic by position among the
+// allowed organisations: a few organisations send most of it.
 var organisationShares = []float64{0.42, 0.3, 0.14, 0.09, 0.05}
 
-// organisation draws one that may use the stream's tier, the document's first
-// ones being the largest.
+// organisation draws an organisation that may use the stream's tier. The first
+// ones of the document get the largest shares.
 func (g *generator) organisation(s *stream) (string, error) {
 	allowed := g.allowed(s)
 	if len(allowed) == 0 {
@@ -265,11 +269,11 @@
 	var names []string
 	for i := range g.document.Organisations {
 		o := &g.document.Organisations[i]
-		able := slices.Contains(o.Models, g.model.Name)
+		permitted := slices.Contains(o.Models, g.model.Name)
 		if s.kind == Service {
-			able = slices.Contains(o.Services, g.service.Name)
+			permitted = slices.Contains(o.Services, g.service.Name)
 		}
-		if able && slices.Contains(o.Tiers, g.tier(s)) {
+		if permitted && slices.Contains(o.Tiers, g.tier(s)) {
 			names = append(names, o.Name)
 		}
 	}
@@ -284,16 +288,16 @@
 	slices.SortStableFunc(g.lines, func(a, b Line) int { return cmp.Compare(a.AtMS, b.AtMS) })
 }
 
-// resendAfterMS is how soon an impatient caller asks again.
+// resendAfterMS is the delay after which a caller resends a request.
 var resendAfterMS = span{50, 1500}
 
 // addResends repeats some keyed calls, half under the same id and half under a
-// new id with the same key. It sorts again and keeps Resend.Of right.
+// new id with the same key. It sorts the lines again and adjusts Resend.Of.
 func (g *generator) addResends() {
 	originals := len(g.lines)
 	for i := range originals {
 		l := g.lines[i]
-		if l.Key == "" || g.random.Float64() >= g.work.resendShare {
+		if l.Key == "" || g.random.Float64() >= g.workload.resendShare {
 			continue
 		}
 		after := int64(g.draw(resendAfterMS))
@@ -307,14 +311,14 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(g.lines[a].AtMS, g.lines[b].AtMS) })
 	sorted := make([]Line, len(order))
-	place := make([]int, len(order))
+	position := make([]int, len(order))
 	for to, from := range order {
 		sorted[to] = g.lines[from]
-		place[from] = to
+		position[from] = to
 	}
 	for i := range sorted {
 		if r := sorted[i].Resend; r != nil {
-			r.Of = place[r.Of]
+			r.Of = position[r.Of]
 		}
 	}
 	g.lines = sorted
--- a/internal/replay/trace/trace.go
+++ b/internal/replay/trace/trace.go
@@ -1,6 +1,6 @@
 // Package trace reads, writes and generates recorded traffic: a JSON-lines file
-// with one header line and then one line for each request. A trace holds times,
-// sizes and hashes, and never the content of a request.
+// with one header line followed by one line for each request. A trace holds
+// times, sizes and hashes, never the content of a request.
 package trace
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// FormatVersion is the version of the file's form that this build reads.
+// FormatVersion is the version of the file format that this build reads.
 const FormatVersion = 1
 
-// Errors of reading a trace; each is wrapped with the line's number.
+// Errors of reading a trace, each wrapped with the line number.
 var (
 	ErrMalformed = errors.New("malformed trace")
 	ErrVersion   = errors.New("trace has another format version")
@@ -28,17 +28,17 @@
 	Name       string `json:"name"`
 	Deployment string `json:"deployment"`
 	Seed       uint64 `json:"seed"`
-	// Load is the mean engine demand as a multiple of capacity; 0: recorded
-	// from real traffic.
+	// Load is the mean engine demand as a multiple of capacity, or 0 for a trace
+	// recorded from real traffic.
 	Load     float64 `json:"load,omitempty"`
 	Scenario string  `json:"scenario,omitempty"`
 	// DurationMS is the time over which requests arrive.
 	DurationMS int64 `json:"duration_ms"`
-	// Capacity says how the load factor was worked out.
+	// Capacity describes how the load factor was computed.
 	Capacity string `json:"capacity,omitempty"`
 }
 
-// Kind tells model engines from plain services.
+// Kind distinguishes requests to model engines from calls to plain services.
 type Kind string
 
 const (
@@ -50,7 +50,7 @@
 
 // Line is one request.
 type Line struct {
-	// AtMS is when it is sent, from the start of the trace.
+	// AtMS is the send time in ms from the start of the trace.
 	AtMS         int64  `json:"at_ms"`
 	Organisation string `json:"organisation"`
 	Tier         string `json:"tier"`
@@ -58,7 +58,7 @@
 	Model        string `json:"model,omitempty"`
 	Service      string `json:"service,omitempty"`
 	Method       string `json:"method,omitempty"`
-	// Path of a service call, below the service's name.
+	// Path of a service call, relative to the service's URL.
 	Path         string  `json:"path,omitempty"`
 	PromptTokens int     `json:"prompt_tokens,omitempty"`
 	SharedPrefix *Prefix `json:"shared_prefix,omitempty"`
@@ -69,41 +69,43 @@
 	// Key is the caller's Idempotency-Key, made unique for each replay.
 	Key    string  `json:"key,omitempty"`
 	Resend *Resend `json:"resend,omitempty"`
-	// Poison marks the request on which targets crash, for the faults' schedule.
-	Poison bool `json:"poison,omitempty"`
+	// CrashesTarget marks a crashing request, which crashes each target that runs it; a
+	// fault schedule sets it.
+	CrashesTarget bool `json:"poison,omitempty"`
 }
 
-// Prefix names the leading part of a prompt that requests share.
+// Prefix identifies the leading part of a prompt that requests share.
 type Prefix struct {
 	ID     string `json:"id"`
 	Tokens int    `json:"tokens"`
 }
 
-// Resend says that this line repeats an earlier one: its caller had no answer
-// and asked again. AtMS is the earlier line's time plus AfterMS.
+// Resend marks a line that repeats an earlier one because the caller received no
+// answer. AtMS of the line is the earlier line's time plus AfterMS.
 type Resend struct {
 	// Of is the index of the earlier line, from 0.
 	Of      int   `json:"of"`
 	AfterMS int64 `json:"after_ms"`
-	// SameID: the caller sends the same request id, to another entry. Otherwise
-	// it forms a new id and the Idempotency-Key alone ties the two together.
+	// SameID means that the caller sends the same request id to another entry.
+	// Otherwise it forms a new id, and only the Idempotency-Key links the two.
 	SameID bool `json:"same_id"`
 }
 
-// Trace is a whole trace in memory, its lines in order of AtMS.
+// Trace is a complete trace in memory, its lines in order of AtMS.
 type Trace struct {
 	Header Header
 	Lines  []Line
 }
 
-// Deadline is the time from sending within which the whole answer must be there;
-// 0: the tier's own rule holds.
+// Deadline returns the time from sending within which the complete answer must
+// arrive, or 0 if the tier's deadline applies.
 func (l *Line) Deadline() time.Duration { return time.Duration(l.DeadlineMS) * time.Millisecond }
 
-// FirstToken is the bound for the first token; 0: none.
+// FirstToken returns the time from sending within which the first token must
+// arrive, or 0 if the line sets none.
 func (l *Line) FirstToken() time.Duration { return time.Duration(l.FirstTokenMS) * time.Millisecond }
 
-// At is the time of sending, from the start of the trace.
+// At returns the send time from the start of the trace.
 func (l *Line) At() time.Duration { return time.Duration(l.AtMS) * time.Millisecond }
 
 // Write writes the trace as JSON lines.
@@ -172,13 +174,13 @@
 	return Read(f)
 }
 
-// check judges the line that is to follow those read so far.
+// check validates the line that follows those read so far.
 func (t *Trace) check(line *Line) error {
 	if n := len(t.Lines); n > 0 && line.AtMS < t.Lines[n-1].AtMS {
-		return errors.New("at_ms goes back")
+		return errors.New("at_ms is less than that of the previous line")
 	}
 	if line.Organisation == "" || line.Tier == "" {
-		return errors.New("organisation and tier are needed")
+		return errors.New("organisation and tier are required")
 	}
 	if line.Resend != nil && (line.Resend.Of < 0 || line.Resend.Of >= len(t.Lines)) {
 		return errors.New("resend.of must name an earlier line")
@@ -186,11 +188,11 @@
 	switch line.Kind {
 	case Engine:
 		if line.Model == "" || line.PromptTokens <= 0 || line.MaxTokens <= 0 {
-			return errors.New("an engine request needs model, prompt_tokens and max_tokens")
+			return errors.New("an engine request requires model, prompt_tokens and max_tokens")
 		}
 	case Service:
 		if line.Service == "" || line.Method == "" {
-			return errors.New("a service request needs service and method")
+			return errors.New("a service request requires service and method")
 		}
 	default:
 		return fmt.Errorf("unknown kind %q", line.Kind)
--- a/internal/replay/trace/trace_test.go
+++ b/internal/replay/trace/trace_test.go
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("a generated trace", func() {
-	It("is the same for the same seed and another for another", func() {
+	It("is the same for the same seed and differs for another seed", func() {
 		first := encoded(generated(usual(Tanglaw, 0.5)))
 		Expect(encoded(generated(usual(Tanglaw, 0.5)))).To(Equal(first))
 		other := usual(Tanglaw, 0.5)
@@ -51,20 +51,20 @@
 		Expect(encoded(generated(other))).NotTo(Equal(first))
 	})
 
-	DescribeTable("keeps to its deployment's bounds and reads back as it was written",
+	DescribeTable("stays within the bounds of its deployment and is read back unchanged",
 		func(d Deployment, longest int) {
 			o := usual(d, 0.5)
 			o.Seconds = 300
 			t := generated(o)
 			doc := testDocument()
-			prompt, keyed, resent := 0, 0, 0
+			longestPrompt, keyed, resent := 0, 0, 0
 			for i := range t.Lines {
 				l := &t.Lines[i]
 				Expect(PoolOf(doc, l)).NotTo(BeEmpty())
 				_, known := doc.TierRank(l.Tier)
 				Expect(known).To(BeTrue())
 				Expect(l.Key != "").To(Equal(!l.Idempotent))
-				prompt = max(prompt, l.PromptTokens)
+				longestPrompt = max(longestPrompt, l.PromptTokens)
 				if l.Key != "" {
 					keyed++
 				}
@@ -75,18 +75,18 @@
 					Expect(l.AtMS - earlier.AtMS).To(Equal(l.Resend.AfterMS))
 				}
 			}
-			Expect(prompt).To(And(BeNumerically("<=", longest), BeNumerically(">", longest/2)))
+			Expect(longestPrompt).To(And(BeNumerically("<=", longest), BeNumerically(">", longest/2)))
 			Expect(keyed).To(BeNumerically(">", 0))
 			Expect(resent).To(BeNumerically(">", 0))
-			back, err := Read(strings.NewReader(encoded(t)))
+			decoded, err := Read(strings.NewReader(encoded(t)))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(back).To(Equal(t))
+			Expect(decoded).To(Equal(t))
 		},
 		Entry("Tanglaw", Tanglaw, 300),
 		Entry("Quebracho", Quebracho, 30000),
 	)
 
-	It("brings the load that it was asked for, whatever the bursts", func() {
+	It("has the requested mean load regardless of bursts", func() {
 		one, four := generated(usual(Tanglaw, 1)), generated(usual(Tanglaw, 4))
 		engines := func(t *Trace) (n float64) {
 			for i := range t.Lines {
@@ -103,7 +103,7 @@
 		Expect(engines(four)).To(BeNumerically("~", 4*expected, 0.06*4*expected))
 	})
 
-	It("floods from one organisation, rises at a shift change, and brings packs of briefs", func() {
+	It("adds a flood from one organisation, a shift burst, and packs of briefs", func() {
 		count := func(s Scenario, d Deployment, which func(*Line) bool) (n int) {
 			o := usual(d, 0.5)
 			o.Scenario = s
@@ -126,7 +126,7 @@
 	})
 })
 
-var _ = DescribeTable("a malformed trace is refused",
+var _ = DescribeTable("a malformed trace is rejected",
 	func(line, want string) {
 		header := `{"format":1,"name":"x","deployment":"tanglaw","seed":1,"duration_ms":1}` + "\n"
 		_, err := Read(strings.NewReader(header + line))
--- a/internal/replay/trace/workload.go
+++ b/internal/replay/trace/workload.go
@@ -1,6 +1,6 @@
 package trace
 
-// Deployment names one of the two workloads that generators know.
+// Deployment names one of the two built-in workloads.
 type Deployment string
 
 const (
@@ -8,58 +8,62 @@
 	Quebracho Deployment = "quebracho"
 )
 
-// Scenario names a disturbance of the usual traffic.
+// Scenario names a deviation from the typical traffic.
 type Scenario string
 
 const (
-	// Usual has the deployment's ordinary bursts.
+	// Usual is the typical traffic with the deployment's own bursts.
 	Usual Scenario = "usual"
-	// Flood: from a third to two thirds of the time the largest organisation
-	// sends FloodFactor times the whole capacity on top, in its first stream.
+	// Flood adds requests of the first stream at FloodFactor times the total
+	// capacity, all from the largest organisation, during the middle third of the
+	// trace.
 	Flood Scenario = "flood"
-	// ShiftBurst: at half time the streams of attendants rise ShiftFactor times.
+	// ShiftBurst multiplies the rate of the attendants' streams by ShiftFactor
+	// for shiftSeconds from the middle of the trace.
 	ShiftBurst Scenario = "shift"
-	// BriefsDuringCall: at half time ten brief packs arrive within one second,
-	// while copy suggestions go on.
+	// BriefsDuringCall adds ten packs of briefs within one second at the middle of
+	// the trace, while copy suggestions continue.
 	BriefsDuringCall Scenario = "call"
 )
 
 const (
-	// FloodFactor is the flooding organisation's extra load.
+	// FloodFactor is the extra load of the flood as a multiple of capacity.
 	FloodFactor = 1.0
-	// ShiftFactor is the rise of a shift change.
+	// ShiftFactor is the factor by which the rate rises at a shift change.
 	ShiftFactor = 6.0
 	// shiftSeconds is how long the rise lasts.
 	shiftSeconds = 3.0
-	// callPacks and briefsPerPack size the BriefsDuringCall scenario.
+	// callPacks and briefsPerPack are the size of the BriefsDuringCall scenario.
 	callPacks     = 10
 	briefsPerPack = 3
 )
 
-// span is an inclusive range from which a size is drawn evenly.
+// span is an inclusive range of sizes, drawn with uniform distribution.
 type span struct{ low, high int }
 
 func (s span) mean() float64 { return float64(s.low+s.high) / 2 }
 
-// stream is one sort of request of a workload.
+// stream is one type of request of a workload.
 type stream struct {
 	name string
 	kind Kind
-	// rank is the tier's place in the document; the last tier if there are fewer.
+	// rank is the tier's position in the document. If the document has fewer
+	// tiers, the last one applies.
 	rank int
-	// weight is the part of the engine requests, or for a service the number
-	// of calls for each engine request.
+	// weight is the share of the engine requests, or for a service the number of
+	// calls per engine request.
 	weight float64
 	prompt span
 	shared int
 	answer span
-	// deadlineMS and firstTokenMS in milliseconds; 0: the tier's rule.
+	// deadlineMS and firstTokenMS are in milliseconds; if 0, the tier's bounds
+	// apply.
 	deadlineMS, firstTokenMS int64
 	// method and path of a service call.
 	method, path string
-	// keyed: not idempotent, sent with an Idempotency-Key.
+	// keyed calls are not idempotent and are sent with an Idempotency-Key.
 	keyed bool
-	// bursty streams follow the bursts; shift streams rise in a shift burst.
+	// bursty streams follow the bursts; shift streams also rise in a shift burst.
 	bursty, shift bool
 }
 
@@ -69,11 +73,12 @@
 	// A burst begins every burstEvery seconds and multiplies bursty streams
 	// by burstFactor for burstSeconds.
 	burstEvery, burstSeconds, burstFactor float64
-	// resendShare of keyed calls is sent again by its caller.
+	// resendShare is the share of keyed calls that their callers resend.
 	resendShare float64
 }
 
-// tanglaw: trains bring bursts of short urgent questions and reservations.
+// tanglaw returns a workload with bursts of short urgent questions and
+// reservations, as trains arrive.
 func tanglaw() workload {
 	return workload{
 		burstEvery: 10, burstSeconds: 2, burstFactor: 2.5, resendShare: 0.03,
@@ -92,7 +97,8 @@
 	}
 }
 
-// quebracho: briefs a hundred times longer than the copy suggestions beside them.
+// quebracho returns a workload with briefs a hundred times longer than the copy
+// suggestions sent at the same time.
 func quebracho() workload {
 	return workload{
 		burstEvery: 15, burstSeconds: 4, burstFactor: 2, resendShare: 0.05,
--- a/internal/replay/virtual/caller.go
+++ b/internal/replay/virtual/caller.go
@@ -75,7 +75,7 @@
 }
 
 func newCall(w *world, index int, line *trace.Line) *call {
-	c := &call{world: w, line: line, source: index, poison: line.Poison, caller: w.callers[index%len(w.callers)]}
+	c := &call{world: w, line: line, source: index, poison: line.CrashesTarget, caller: w.callers[index%len(w.callers)]}
 	if line.Resend != nil {
 		c.source = line.Resend.Of
 	}
--- a/internal/replay/virtual/faults.go
+++ b/internal/replay/virtual/faults.go
@@ -230,7 +230,7 @@
 		return nil, nil, fmt.Errorf("%w: no engine request to poison", ErrFault)
 	}
 	line := lines[first]
-	line.Poison, line.Resend = true, nil
+	line.CrashesTarget, line.Resend = true, nil
 	w.open++
 	return func() {
 		c := newCall(w, first, &line)
