--- a/cmd/sycamore-replay/run.go
+++ b/cmd/sycamore-replay/run.go
@@ -59,7 +59,7 @@
 	flags.IntVar(&f.live.AdminOffset, "admin-offset", live.DefaultAdminOffset, "live: added to a target's port to reach its ledger")
 	flags.IntVar(&f.live.Callers, "callers", live.DefaultCallers, "live: independent callers that share the trace")
 	flags.IntVar(&f.live.Concurrency, "concurrency", live.DefaultConcurrency, "live: bound on requests under way")
-	flags.DurationVar(&f.live.Patience, "patience", live.DefaultPatience, "live: wait past the deadline before another entry is asked")
+	flags.DurationVar(&f.live.WaitLimit, "patience", live.DefaultWaitLimit, "live: wait past the deadline before another entry is asked")
 	flags.DurationVar(&f.live.GiveUp, "give-up", live.DefaultGiveUp, "live: wait past the deadline before a caller stops")
 	flags.BoolVar(&f.live.Ledgers, "ledgers", true, "live: count runs from the targets' ledgers")
 	f.virtual.register(flags)
@@ -118,7 +118,7 @@
 	}
 	options.Tokens = tokens
 	options.Entries, options.Callers, options.Concurrency = f.entries, f.live.Callers, f.live.Concurrency
-	options.Patience, options.GiveUp = f.live.Patience, f.live.GiveUp
+	options.WaitLimit, options.GiveUp = f.live.WaitLimit, f.live.GiveUp
 	options.Ledgers, options.AdminOffset = f.live.Ledgers, f.live.AdminOffset
 	options.Tolerance = f.tolerance(live.DefaultTolerance)
 	return live.Run(ctx, options)
--- a/internal/replay/faults/callers.go
+++ b/internal/replay/faults/callers.go
@@ -118,7 +118,7 @@
 		About: "a request kills every engine that runs it; its caller sends it again at once under new ids",
 		play: func(p *play) error {
 			for _, name := range p.engines() {
-				if _, err := p.order(name, `{"crash_on":"`+live.PoisonText+`"}`); err != nil {
+				if _, err := p.order(name, `{"crash_on":"`+live.CrashText+`"}`); err != nil {
 					return err
 				}
 			}
--- a/internal/replay/faults/faults.go
+++ b/internal/replay/faults/faults.go
@@ -132,7 +132,7 @@
 	options := live.Options{
 		Trace: t, Document: s.document, Tokens: s.tokens,
 		Callers: live.DefaultCallers, Concurrency: live.DefaultConcurrency,
-		Patience: live.DefaultPatience, GiveUp: live.DefaultGiveUp, Tolerance: live.DefaultTolerance,
+		WaitLimit: live.DefaultWaitLimit, GiveUp: live.DefaultGiveUp, Tolerance: live.DefaultTolerance,
 	}
 	for i := range s.entries {
 		options.Entries = append(options.Entries, s.entries[i].callers)
--- a/internal/replay/live/body.go
+++ b/internal/replay/live/body.go
@@ -11,10 +11,11 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// PoisonText in a prompt marks a request on which stand-ins are told to crash.
-const PoisonText = "replay-poison"
+// CrashText in a prompt marks a crashing request: stand-ins can be set to crash
+// when they receive it.
+const CrashText = "replay-poison"
 
-// bytesPerToken of the text made up for a prompt.
+// bytesPerToken is the length of one token in the generated text of a prompt.
 const bytesPerToken = 4
 
 type chatMessage struct {
@@ -34,8 +35,8 @@
 	Text string `json:"text"`
 }
 
-// body makes up a request body of the recorded size. Equal shared prefixes give
-// equal leading text; a line that repeats another gives the same body.
+// body generates a request body of the recorded size. Equal shared prefixes give
+// equal leading text, and a line that repeats another gives the same body.
 func body(t *trace.Trace, index int) ([]byte, error) {
 	line := &t.Lines[index]
 	source := index
@@ -53,7 +54,7 @@
 	}
 	question := text(t.Header.Seed<<32+uint64(source), own)
 	if line.CrashesTarget {
-		question = PoisonText + " " + question
+		question = CrashText + " " + question
 	}
 	chat.Messages = append(chat.Messages, chatMessage{Role: "user", Content: question})
 	data, err := json.Marshal(chat)
@@ -65,7 +66,7 @@
 
 const letters = "abcdefghijklmnopqrstuvwxyz"
 
-// text is pseudo-random words of bytesPerToken-1 letters and a space.
+// text returns pseudo-random words of bytesPerToken-1 letters and a space.
 func text(seed uint64, tokens int) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var b strings.Builder
--- a/internal/replay/live/directory.go
+++ b/internal/replay/live/directory.go
@@ -12,7 +12,7 @@
 	"sycamoretrail/internal/core/ident"
 )
 
-// entryRow is one entry in an answer to "which entry".
+// entryRow is one entry in the answer of GET /v1/entries.
 type entryRow struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -26,7 +26,7 @@
 	IDPrefix  ident.Prefix `json:"id_prefix"`
 }
 
-// directory is one caller's knowledge of which entries to use.
+// directory is a caller's cached list of the entries to use.
 type directory struct {
 	http  *fasthttp.Client
 	zone  string
@@ -37,8 +37,8 @@
 	until  time.Time
 }
 
-// current returns the answer that is good now, asking for a new one if need be.
-// Callers of one directory wait for each other, so one question serves all.
+// current returns the cached answer while it is valid and otherwise fetches a new
+// one. Concurrent callers wait for the same fetch.
 func (d *directory) current(now time.Time) (entriesAnswer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 	var last error
 	for _, address := range d.candidates() {
-		answer, err := d.ask(address)
+		answer, err := d.fetch(address)
 		if err != nil {
 			last = err
 			continue
@@ -59,9 +59,9 @@
 	return entriesAnswer{}, fmt.Errorf("%w: %w", ErrNoEntry, last)
 }
 
-// forget makes the next request ask again: the entry in use died, and the id
-// prefix of a dead owner is of no more use.
-func (d *directory) forget(prefix ident.Prefix) {
+// invalidate invalidates the answer with the given prefix after its entry failed: the
+// id prefix of a failed owner cannot be used any more.
+func (d *directory) invalidate(prefix ident.Prefix) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.answer.IDPrefix == prefix {
@@ -69,7 +69,7 @@
 	}
 }
 
-// candidates are the entries last heard of, then the seeds.
+// candidates returns the addresses of the last answer, followed by the seeds.
 func (d *directory) candidates() []string {
 	var addresses []string
 	for _, e := range d.answer.Entries {
@@ -78,30 +78,30 @@
 	return append(addresses, d.seeds...)
 }
 
-// askTimeout bounds one question, so that a paused entry is passed over.
-const askTimeout = 2 * time.Second
+// fetchTimeout limits one fetch, so that a paused entry is skipped.
+const fetchTimeout = 2 * time.Second
 
-func (d *directory) ask(address string) (entriesAnswer, error) {
+func (d *directory) fetch(address string) (entriesAnswer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + address + "/v1/entries?zone=" + url.QueryEscape(d.zone))
-	if err := d.http.DoTimeout(req, resp, askTimeout); err != nil {
-		return entriesAnswer{}, fmt.Errorf("ask %s which entry: %w", address, err)
+	if err := d.http.DoTimeout(req, resp, fetchTimeout); err != nil {
+		return entriesAnswer{}, fmt.Errorf("fetch entries from %s: %w", address, err)
 	}
 	body, err := resp.BodyUncompressed()
 	if err != nil {
-		return entriesAnswer{}, fmt.Errorf("ask %s which entry: %w", address, err)
+		return entriesAnswer{}, fmt.Errorf("fetch entries from %s: %w", address, err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return entriesAnswer{}, fmt.Errorf("ask %s which entry: status %d", address, resp.StatusCode())
+		return entriesAnswer{}, fmt.Errorf("fetch entries from %s: status %d", address, resp.StatusCode())
 	}
 	var answer entriesAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return entriesAnswer{}, fmt.Errorf("ask %s which entry: %w", address, err)
+		return entriesAnswer{}, fmt.Errorf("fetch entries from %s: %w", address, err)
 	}
 	if len(answer.Entries) == 0 || answer.IDPrefix == "" {
-		return entriesAnswer{}, fmt.Errorf("ask %s which entry: no entries in the answer", address)
+		return entriesAnswer{}, fmt.Errorf("fetch entries from %s: no entries in the answer", address)
 	}
 	return answer, nil
 }
--- a/internal/replay/live/exchange.go
+++ b/internal/replay/live/exchange.go
@@ -20,7 +20,7 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// Names of documented headers.
+// Names of the documented headers.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerKey         = "Idempotency-Key"
@@ -37,13 +37,13 @@
 // streamsPath is followed by a stream's token.
 const streamsPath = "/v1/streams/"
 
-// redirects bounds how often an entry may name another one.
-const redirects = 4
+// maxRedirects limits how many maxRedirects of entries are followed.
+const maxRedirects = 4
 
-// errRedirects: an entry named another one in a way that leads nowhere.
+// errRedirects is returned for too many redirects and for an invalid Location.
 var errRedirects = errors.New("redirected to no answer")
 
-// errNoOutcome: an answer that does not say what became of the request.
+// errNoOutcome is returned for an answer without the outcome of the request.
 var errNoOutcome = errors.New("answer says no outcome")
 
 // refusal is the JSON body of every refusal.
@@ -54,7 +54,7 @@
 	Detail       string          `json:"detail"`
 }
 
-// exchange is one request under way, over as many entries as it takes.
+// exchange is one request in flight, over one or more entries.
 type exchange struct {
 	http  *fasthttp.Client
 	line  *trace.Line
@@ -62,18 +62,19 @@
 	key   string
 	token string
 	body  []byte
-	// stream is the token to attach with, once an entry gave it.
+	// stream is the stream token to attach with, empty until an entry returns one.
 	stream string
 	answer *answer
 	sent   time.Time
 	ended  time.Time
 }
 
-// ask sends the request to an entry, or attaches to its stream there, and
-// returns the final status. An error means that another entry is to be asked.
-func (x *exchange) ask(address string, until time.Time) (outcome.Status, error) {
-	for range redirects {
-		status, next, err := x.once(address, until)
+// send sends the request to an entry, or attaches to its stream there, follows
+// redirects and returns the final status. After an error the caller tries another
+// entry.
+func (x *exchange) send(address string, until time.Time) (outcome.Status, error) {
+	for range maxRedirects {
+		status, next, err := x.sendOnce(address, until)
 		if err != nil || next == "" {
 			return status, err
 		}
@@ -82,8 +83,9 @@
 	return outcome.Status{}, errRedirects
 }
 
-// once asks one entry; next is the entry that it names instead of answering.
-func (x *exchange) once(address string, until time.Time) (status outcome.Status, next string, err error) {
+// sendOnce sends the request to one entry. If the entry redirects, next is the address
+// of the other entry.
+func (x *exchange) sendOnce(address string, until time.Time) (status outcome.Status, next string, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -99,7 +101,7 @@
 	}
 	status, err = x.read(resp)
 	if err != nil {
-		// What is left of a broken answer must not reach the next request.
+		// The rest of a truncated answer must not be read by the next request.
 		resp.SetConnectionClose()
 		return outcome.Status{}, "", fmt.Errorf("answer of %s: %w", address, err)
 	}
@@ -107,7 +109,7 @@
 	return status, "", nil
 }
 
-// redirect takes the entry and the stream's token from a Location.
+// redirect stores the stream token of a Location and returns the entry's address.
 func (x *exchange) redirect(location string) (string, error) {
 	target, err := url.Parse(location)
 	if err != nil {
@@ -121,7 +123,8 @@
 	return target.Host, nil
 }
 
-// form writes the request: the first time whole, later an attach by token.
+// form writes the request: the complete request, or an attach once there is a
+// stream token.
 func (x *exchange) form(req *fasthttp.Request, address string) {
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+x.token)
 	req.Header.Set(headerRequestID, x.id)
@@ -157,14 +160,14 @@
 	}
 }
 
-// remaining is what is left of a bound, in ms: an entry that is asked after
-// another must not begin the caller's time anew.
+// remaining returns the time left of a bound, in ms. It counts from the first
+// attempt, so that trying another entry does not extend the caller's bounds.
 func (x *exchange) remaining(boundMS int64) string {
 	left := boundMS - time.Since(x.sent).Milliseconds()
 	return strconv.FormatInt(max(left, 1), 10)
 }
 
-// read takes an entry's answer apart.
+// read reads an entry's answer and returns the final status.
 func (x *exchange) read(resp *fasthttp.Response) (outcome.Status, error) {
 	if token := resp.Header.Peek(headerStreamToken); len(token) > 0 && x.line.Kind == trace.Engine {
 		x.stream = string(token)
@@ -180,9 +183,9 @@
 	if err != nil {
 		return outcome.Status{}, err
 	}
-	said := outcome.Outcome(resp.Header.Peek(headerOutcome))
-	if said == outcome.Answered {
-		x.checkWhole(resp, body)
+	declared := outcome.Outcome(resp.Header.Peek(headerOutcome))
+	if declared == outcome.Answered {
+		x.checkComplete(resp, body)
 		return outcome.Complete(), nil
 	}
 	var r refusal
@@ -192,15 +195,15 @@
 	return outcome.Status{Outcome: r.Outcome, Reason: r.Reason, RetryAfter: retryAfter(r.RetryAfterMS), Detail: r.Detail}, nil
 }
 
-// checkWhole checks an answer that came in one piece.
-func (x *exchange) checkWhole(resp *fasthttp.Response, body []byte) {
+// checkComplete checks an answer that is not streamed.
+func (x *exchange) checkComplete(resp *fasthttp.Response, body []byte) {
 	now := time.Now()
 	x.answer.first, x.answer.last = now, now
-	// Stand-ins echo the request's id, so an empty or foreign body shows even if
-	// its checksum is right.
+	// Stand-ins echo the request's id, so an empty body or that of another request
+	// is detected even if its checksum is correct.
 	id := string(resp.Header.Peek(headerRequestID))
 	if !x.answer.own(id) || !bytes.Contains(body, []byte(id)) {
-		x.answer.setFault(faultForeign)
+		x.answer.setFault(faultOtherRequest)
 	}
 	digest := xxhash.New()
 	_, _ = digest.Write(body)
@@ -209,7 +212,7 @@
 	}
 }
 
-// entryFault names why an entry gave no final word, without addresses.
+// entryFault returns why an entry gave no final outcome, without addresses.
 func entryFault(err error) string {
 	switch {
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, fasthttp.ErrDialTimeout):
@@ -218,8 +221,8 @@
 		return "connection refused"
 	case errors.Is(err, fasthttp.ErrConnectionClosed), errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.ErrUnexpectedEOF):
 		return "connection closed"
-	case errors.Is(err, errCut):
-		return errCut.Error()
+	case errors.Is(err, errTruncated):
+		return errTruncated.Error()
 	case errors.Is(err, errNoOutcome):
 		return errNoOutcome.Error()
 	case errors.Is(err, errRedirects):
--- a/internal/replay/live/follow.go
+++ b/internal/replay/live/follow.go
@@ -7,20 +7,21 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// Streamed is what a caller saw of one streamed answer.
+// Streamed is what a caller received of one streamed answer.
 type Streamed struct {
-	// First and Last are when the first and the last chunk were read.
+	// First and Last are the times at which the first and last chunk were read.
 	First, Last time.Time
 	Chunks      int
 	Outcome     outcome.Outcome
 	Reason      outcome.Reason
-	// Fault says what is wrong with an answer that claims to be whole: chunks
-	// missing, out of order, not those of the checksum, or of another request.
+	// Fault describes what is wrong with an answer that is declared complete:
+	// missing or reordered chunks, a wrong checksum, or another request's answer.
 	Fault string
 }
 
-// Follow reads the streamed answer of the request id to its end mark and checks
-// numbering, count and checksum. An error: it broke off before the end mark.
+// Follow reads the streamed answer of the request id up to its outcome event and
+// checks numbering, count and checksum. It returns an error if the stream is
+// truncated before the event.
 func Follow(r io.Reader, id string) (Streamed, error) {
 	a := newAnswer(id)
 	mark, err := a.follow(r)
--- a/internal/replay/live/ledger.go
+++ b/internal/replay/live/ledger.go
@@ -31,23 +31,23 @@
 	Tokens               int     `json:"tokens"`
 }
 
-// ledgerResolution: ledgers cut their times to whole milliseconds.
+// ledgerResolution is the resolution of the times in ledgers, which are truncated
+// to milliseconds.
 const ledgerResolution = time.Millisecond
 
-// ledgerTimeout bounds the reading of one ledger.
+// ledgerTimeout limits the time to read one ledger.
 const ledgerTimeout = 10 * time.Second
 
-// ReadLedgers collects the runs begun at all targets since start; lost names
-// those whose ledger could not be read.
+// ReadLedgers collects the runs begun at all targets since start. It returns in
+// lost the names of the targets whose ledger could not be read.
 func ReadLedgers(doc *document.Document, offset int, start time.Time) (runs []report.Run, lost []string) {
 	return readLedgers(newHTTP(ledgerConnections), doc, offset, start)
 }
 
-// ledgerConnections: ledgers are read one after another.
+// ledgerConnections is 1 as ledgers are read one after another.
 const ledgerConnections = 1
 
-// readLedgers collects the runs begun at all targets since start; lost names
-// those whose ledger could not be read.
+// readLedgers implements ReadLedgers with the given HTTP client.
 func readLedgers(http *fasthttp.Client, doc *document.Document, offset int, start time.Time) (runs []report.Run, lost []string) {
 	for i := range doc.Targets {
 		target := &doc.Targets[i]
@@ -66,7 +66,8 @@
 	return runs, lost
 }
 
-// adminAddress is where a stand-in serves its tester, also while it is crashed.
+// adminAddress returns the address of a stand-in's admin interface, which is
+// available while the stand-in simulates a crash, too.
 func adminAddress(address string, offset int) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return book, nil
 }
 
-// toRun turns Unix milliseconds into times from the replay's start.
+// toRun converts a run of a ledger, whose times are in Unix milliseconds, to one
+// with times from the start of the replay.
 func toRun(r *ledgerRun, target *document.Target, start time.Time) report.Run {
 	run := report.Run{
 		Target: target.Name, Pool: target.Pool, ID: r.ID, Key: r.Key,
--- a/internal/replay/live/live_test.go
+++ b/internal/replay/live/live_test.go
@@ -29,22 +29,22 @@
 	RunSpecs(t, "live replay")
 }
 
-// defect is what a double's answers lack.
+// defect is the defect of a fake entry's answers.
 type defect uint8
 
 const (
 	sound defect = iota
-	cutsAfterTwo
+	truncatesAfterTwo
 	skipsNumber
 	wrongCount
 	wrongChecksum
-	foreignAnswer
+	otherRequest
 	refuses
 )
 
-// double is an entry over real HTTP. It answers each engine request with five
-// chunks, the first of which holds the request's id.
-type double struct {
+// fakeEntry is a fake entry over real HTTP. It answers each engine request with five
+// chunks, the first of which contains the request's id.
+type fakeEntry struct {
 	defect  defect
 	address string
 	others  []string
@@ -54,17 +54,17 @@
 	attach  []string
 }
 
-func startDouble(d defect) *double {
+func startFakeEntry(d defect) *fakeEntry {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	e := &double{defect: d, address: listener.Addr().String()}
+	e := &fakeEntry{defect: d, address: listener.Addr().String()}
 	e.server = &fasthttp.Server{Handler: e.handle, CloseOnShutdown: true}
 	go func() { _ = e.server.Serve(listener) }()
 	DeferCleanup(func() { _ = e.server.Shutdown() })
 	return e
 }
 
-func (e *double) handle(ctx *fasthttp.RequestCtx) {
+func (e *fakeEntry) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	id := string(ctx.Request.Header.Peek(headerRequestID))
 	switch {
@@ -92,19 +92,19 @@
 	}
 }
 
-func (e *double) note(list *[]string, what string) {
+func (e *fakeEntry) note(list *[]string, what string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	*list = append(*list, what)
 }
 
-func (e *double) stream(ctx *fasthttp.RequestCtx, id string, from int) {
+func (e *fakeEntry) stream(ctx *fasthttp.RequestCtx, id string, from int) {
 	ctx.Response.Header.Set(headerStreamToken, id)
 	var body strings.Builder
 	digest := xxhash.New()
 	for n := range 5 {
 		data := fmt.Sprintf(`{"token":%d}`, n)
-		if n == 0 && e.defect != foreignAnswer {
+		if n == 0 && e.defect != otherRequest {
 			data = fmt.Sprintf(`{"token":%q}`, id)
 		}
 		_, _ = digest.WriteString(data)
@@ -115,7 +115,7 @@
 		if n >= from {
 			fmt.Fprintf(&body, "id: %d\ndata: %s\n\n", number, data)
 		}
-		if e.defect == cutsAfterTwo && n == 1 {
+		if e.defect == truncatesAfterTwo && n == 1 {
 			ctx.SetConnectionClose()
 			ctx.SetBodyString(body.String())
 			return
@@ -148,64 +148,64 @@
 	Expect(err).NotTo(HaveOccurred())
 	in, err := Run(context.Background(), Options{
 		Trace: t, Document: doc, Entries: entries, Tokens: tokens, Callers: 3, Concurrency: 20,
-		Patience: time.Second, GiveUp: 2 * time.Second, Tolerance: DefaultTolerance,
+		WaitLimit: time.Second, GiveUp: 2 * time.Second, Tolerance: DefaultTolerance,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	return report.Compute(in)
 }
 
 var _ = Describe("the live replay", func() {
-	It("takes whole answers and forms ids with the prefix", func() {
-		e := startDouble(sound)
+	It("receives complete answers and forms ids with the prefix", func() {
+		e := startFakeEntry(sound)
 		r := replayed(e.address)
 		Expect(r.Requests).To(BeNumerically(">", 5))
 		Expect(r.Answered).To(Equal(r.Requests))
 		Expect(e.posts).To(HaveEach(HavePrefix("inc.0.")))
 	})
 
-	DescribeTable("finds what is wrong with an answer",
+	DescribeTable("detects a defective answer",
 		func(d defect, fault string) {
-			r := replayed(startDouble(d).address)
+			r := replayed(startFakeEntry(d).address)
 			Expect(r.AnswerFaults).To(HaveKey(fault))
 			Expect(r.AnswerFaults).To(HaveLen(1))
 			Expect(r.IncompleteAnswers).To(BeNumerically(">", 0))
 		},
-		Entry("a number left out", skipsNumber, faultNumbering),
-		Entry("another count", wrongCount, faultCount),
-		Entry("another checksum", wrongChecksum, faultChecksum),
-		Entry("another request's answer", foreignAnswer, faultForeign),
+		Entry("a missing number", skipsNumber, faultNumbering),
+		Entry("a wrong count", wrongCount, faultCount),
+		Entry("a wrong checksum", wrongChecksum, faultChecksum),
+		Entry("another request's answer", otherRequest, faultOtherRequest),
 	)
 
-	It("keeps refusals with their reason and advice", func() {
-		r := replayed(startDouble(refuses).address)
+	It("records the reason and retry-after time of refusals", func() {
+		r := replayed(startFakeEntry(refuses).address)
 		Expect(r.RefusedNotRun).To(Equal(r.Requests))
 		Expect(r.RetryAfter.P50).To(Equal(700.0))
 		Expect(r.Refusals["rider"]).To(HaveKey(outcome.ReasonOverload))
 	})
 
-	// The first entry cuts each stream after two chunks. The caller attaches at
-	// the second with the stream's token, from chunk 2, and gets the whole answer.
-	It("attaches elsewhere when a stream is cut", func() {
-		whole := startDouble(sound)
-		cutting := startDouble(cutsAfterTwo)
-		cutting.others = []string{whole.address}
-		r := replayed(cutting.address)
+	// The first entry truncates each stream after two chunks. The caller attaches at
+	// the second with the stream token, from chunk 2, and gets the complete answer.
+	It("attaches at another entry when a stream is truncated", func() {
+		complete := startFakeEntry(sound)
+		truncating := startFakeEntry(truncatesAfterTwo)
+		truncating.others = []string{complete.address}
+		r := replayed(truncating.address)
 		Expect(r.Answered).To(Equal(r.Requests))
 		Expect(r.Resent).To(BeNumerically(">", 0))
-		Expect(whole.posts).To(BeEmpty())
-		Expect(whole.attach).To(HaveEach(HaveSuffix("?from=2")))
+		Expect(complete.posts).To(BeEmpty())
+		Expect(complete.attach).To(HaveEach(HaveSuffix("?from=2")))
 	})
 
-	// The list's first address refuses connections: the caller sends the same id
-	// to the next one, once.
-	It("sends the same id elsewhere when an entry refuses connections", func() {
+	// The first address of the list refuses connections. The caller sends the same
+	// id to the next one, once.
+	It("sends the same id to another entry when one refuses connections", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		dead := listener.Addr().String()
+		refusing := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		e := startDouble(sound)
+		e := startFakeEntry(sound)
 		seed := e.address
-		e.address, e.others = dead, []string{seed}
+		e.address, e.others = refusing, []string{seed}
 		r := replayed(seed)
 		Expect(r.Answered).To(Equal(r.Requests))
 		Expect(r.Resent).To(Equal(r.Requests))
--- a/internal/replay/live/options.go
+++ b/internal/replay/live/options.go
@@ -1,7 +1,8 @@
-// Package live sends a trace in real time to running entries, as callers do:
-// they ask which entry to use, keep the answer while it is good, form request
-// ids with its prefix, and ask another entry when theirs died. Afterwards it
-// reads the targets' ledgers, so that runs are counted where they happened.
+// Package live replays a trace in real time against running entries. It behaves
+// as callers do: they request the list of entries to use, cache it while it is
+// valid, form request ids with its prefix, and switch to another entry when
+// theirs fails. Afterwards it reads the ledgers of the targets, so that runs are
+// counted where they took place.
 package live
 
 import (
@@ -23,25 +24,25 @@
 	ErrNoLedger = errors.New("ledger cannot be read")
 )
 
-// Options of a live replay.
+// Options are the parameters of a live replay.
 type Options struct {
 	Trace    *trace.Trace
 	Document *document.Document
-	// Entries are addresses (host:port) to begin with; callers learn the rest.
+	// Entries are the seed addresses (host:port); callers discover the others.
 	Entries []string
-	// Tokens are the bearer tokens by organisation.
+	// Tokens holds the bearer tokens by organisation.
 	Tokens map[string]string
-	// Callers is how many independent callers send the trace between them, each
-	// with an answer to "which entry" of its own.
+	// Callers is the number of independent callers among which the trace is
+	// divided. Each has its own list of entries.
 	Callers int
-	// Concurrency bounds the requests under way.
+	// Concurrency limits the requests in flight.
 	Concurrency int
-	// Patience is how long past its deadline a caller waits for an entry before
-	// it asks another; GiveUp how long past it the caller stops altogether.
-	Patience, GiveUp time.Duration
-	// Tolerance is the uncertainty of comparing callers' and ledgers' times.
+	// WaitLimit is the time past the deadline after which a caller tries another
+	// entry. GiveUp is the time past the deadline after which it gives up.
+	WaitLimit, GiveUp time.Duration
+	// Tolerance is the uncertainty when times of callers and ledgers are compared.
 	Tolerance time.Duration
-	// Ledgers false: the targets keep none, and no run is counted.
+	// Ledgers is false if the targets keep no ledgers; no runs are counted then.
 	Ledgers bool
 	// AdminOffset is added to a target's port to reach its ledger.
 	AdminOffset int
@@ -51,21 +52,21 @@
 const (
 	DefaultCallers     = 24
 	DefaultConcurrency = 4000
-	DefaultPatience    = 2 * time.Second
+	DefaultWaitLimit   = 2 * time.Second
 	DefaultGiveUp      = 12 * time.Second
 	DefaultAdminOffset = 10000
 	DefaultTolerance   = 25 * time.Millisecond
 )
 
-// dialTimeout bounds a connection attempt on a healthy network.
+// dialTimeout limits a connection attempt; a healthy network connects sooner.
 const dialTimeout = time.Second
 
-// restAfterRound is the pause after every known entry failed once.
-const restAfterRound = 100 * time.Millisecond
+// pauseAfterRound is the pause after each known entry has failed once.
+const pauseAfterRound = 100 * time.Millisecond
 
 func (o *Options) check() error {
 	if len(o.Entries) == 0 {
-		return fmt.Errorf("%w: none was named", ErrNoEntry)
+		return fmt.Errorf("%w: no addresses given", ErrNoEntry)
 	}
 	if o.Callers <= 0 || o.Concurrency <= 0 {
 		return errors.New("callers and concurrency must be positive")
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// tokenFits compares a token with the hashes of the document.
+// tokenFits reports whether the document has the hash of the organisation's token.
 func (o *Options) tokenFits(organisation string) bool {
 	sum := sha256.Sum256([]byte(o.Tokens[organisation]))
 	for i := range o.Document.Organisations {
@@ -94,7 +95,7 @@
 	return false
 }
 
-// zones are those of the document's targets, in order of appearance.
+// zones returns the zones of the document's targets, in order of appearance.
 func (o *Options) zones() []string {
 	var zones []string
 	seen := map[string]bool{}
--- a/internal/replay/live/replay.go
+++ b/internal/replay/live/replay.go
@@ -18,23 +18,23 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// replay is a live replay under way.
+// replay is the state of a live replay.
 type replay struct {
 	options Options
 	http    *fasthttp.Client
 	start   time.Time
-	// tag keeps the ids and keys of one replay apart from any other's.
+	// tag makes the ids and keys of this replay distinct from those of others.
 	tag     string
 	callers []*directory
 	calls   []report.Call
-	// ids holds the id of each line once it is sent, for lines that repeat it.
+	// ids holds the id of each line once it is formed, for lines that repeat it.
 	ids []atomic.Pointer[ident.RequestID]
 	// sends counts how often the id of a line was sent.
 	sends []atomic.Int32
 }
 
-// Run sends the whole trace and returns what the report is made of. It ends
-// early, leaving the rest unsent, when the context is done.
+// Run sends the complete trace and returns the input of the report. If the context
+// is done it stops early and leaves the rest unsent.
 func Run(ctx context.Context, options Options) (report.Input, error) {
 	if err := options.check(); err != nil {
 		return report.Input{}, err
@@ -84,12 +84,12 @@
 		Dial:                func(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) },
 		MaxConnsPerHost:     connections,
 		MaxIdleConnDuration: 10 * time.Second,
-		// A retry by the library would hide an entry's death from the caller.
+		// A retry by the library would hide the failure of an entry from the caller.
 		MaxIdemponentCallAttempts: 1,
 	}
 }
 
-// sendAll sends each line at its time and waits for the last answer.
+// sendAll sends each line at its time and waits for all answers.
 func (r *replay) sendAll(ctx context.Context) error {
 	pool := pond.NewPool(r.options.Concurrency)
 	defer pool.StopAndWait()
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// perform does what the caller of one line does.
+// perform sends the request of one line and records what its caller receives.
 func (r *replay) perform(index int) {
 	line := &r.options.Trace.Lines[index]
 	call := &r.calls[index]
@@ -134,11 +134,11 @@
 		http: r.http, line: line, id: call.ID, key: call.Key, token: r.options.Tokens[line.Organisation],
 		body: content, answer: newAnswer(r.ownIDs(index)...), sent: r.start.Add(call.Sent),
 	}
-	r.askEntries(x, call, caller, entries, turn, giveUp)
+	r.tryEntries(x, call, caller, entries, turn, giveUp)
 }
 
-// askEntries asks one entry after another until one gives the final word.
-func (r *replay) askEntries(x *exchange, call *report.Call, caller *directory, entries entriesAnswer, turn int, giveUp time.Time) {
+// tryEntries tries one entry after another until one returns the final outcome.
+func (r *replay) tryEntries(x *exchange, call *report.Call, caller *directory, entries entriesAnswer, turn int, giveUp time.Time) {
 	for time.Now().Before(giveUp) {
 		call.Attempts++
 		address := entries.Entries[turn%len(entries.Entries)].Address
@@ -146,33 +146,33 @@
 		if x.stream != "" {
 			call.Attached++
 		}
-		until := time.Now().Add(r.patience(call))
+		until := time.Now().Add(r.waitLimit(call))
 		if until.After(giveUp) {
 			until = giveUp
 		}
-		status, err := x.ask(address, until)
+		status, err := x.send(address, until)
 		if err == nil {
 			r.settle(x, call, status)
 			return
 		}
 		call.EntryFaults = append(call.EntryFaults, entryFault(err))
-		caller.forget(entries.IDPrefix)
+		caller.invalidate(entries.IDPrefix)
 		turn++
 		if turn%len(entries.Entries) != 0 {
 			continue
 		}
-		time.Sleep(restAfterRound)
+		time.Sleep(pauseAfterRound)
 		if fresh, err := caller.current(time.Now()); err == nil {
 			entries = fresh
 		}
 	}
 }
 
-// patience is how long one entry is waited for: to the deadline and a little
-// more, or just the little when the deadline has passed.
-func (r *replay) patience(call *report.Call) time.Duration {
+// waitLimit returns the wait limit for one entry: the time left to the deadline
+// plus options.WaitLimit.
+func (r *replay) waitLimit(call *report.Call) time.Duration {
 	left := call.Sent + call.Deadline - time.Since(r.start)
-	return max(left, 0) + r.options.Patience
+	return max(left, 0) + r.options.WaitLimit
 }
 
 func (r *replay) settle(x *exchange, call *report.Call, status outcome.Status) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// describe fills in what the trace says of a line.
+// describe fills in the call from the line of the trace.
 func (r *replay) describe(call *report.Call, index int) {
 	line := &r.options.Trace.Lines[index]
 	*call = report.Call{
@@ -205,7 +205,7 @@
 	}
 }
 
-// applyTier takes the tier's bounds where the line brings none.
+// applyTier applies the bounds of the tier where the line sets none.
 func (r *replay) applyTier(call *report.Call, rank request.Tier) {
 	tier := &r.options.Document.Tiers[rank]
 	if call.Deadline == 0 {
@@ -216,8 +216,8 @@
 	}
 }
 
-// source is the line whose id a line sends: its own, unless its caller sends an
-// earlier one's id again.
+// source returns the line whose id the given line sends: itself, or the earlier
+// line that it repeats under the same id.
 func (r *replay) source(index int) int {
 	if again := r.options.Trace.Lines[index].Resend; again != nil && again.SameID {
 		return again.Of
@@ -225,15 +225,15 @@
 	return index
 }
 
-// idWait bounds the wait of a line for the id of the line that it repeats, which
-// may be sent at the same moment.
+// idWait limits how long a line waits for the id of the line that it repeats, as
+// both may be sent at the same time. idPollInterval is the interval of the checks.
 const (
-	idWait = time.Second
-	idLook = time.Millisecond
+	idWait         = time.Second
+	idPollInterval = time.Millisecond
 )
 
-// formID forms the line's id and says with which entry of the list to begin. A
-// caller that sends an id again asks the next entry of its list each time.
+// formID forms the line's id and returns the index of the entry to try first. A
+// caller that sends an id again tries the next entry of its list each time.
 func (r *replay) formID(index int, prefix ident.Prefix) (ident.RequestID, int) {
 	source := r.source(index)
 	if source == index {
@@ -241,18 +241,18 @@
 		r.ids[index].Store(&id)
 		return id, 0
 	}
-	for waited := time.Duration(0); waited < idWait; waited += idLook {
+	for waited := time.Duration(0); waited < idWait; waited += idPollInterval {
 		if id := r.ids[source].Load(); id != nil {
 			return *id, int(r.sends[source].Add(1))
 		}
-		time.Sleep(idLook)
+		time.Sleep(idPollInterval)
 	}
-	// The earlier line never got an id, so this one is the first to ask.
+	// The earlier line never formed an id, so this one is the first to be sent.
 	return prefix.ID(fmt.Sprintf("%s-%d", r.tag, source)), 0
 }
 
-// ownIDs are the ids whose answer a line may get: its own, and where it repeats
-// an earlier line's key, that line's.
+// ownIDs returns the ids whose answers are valid for a line: its own and, if it
+// repeats an earlier line, that line's.
 func (r *replay) ownIDs(index int) []string {
 	ids := []string{r.calls[index].ID}
 	if again := r.options.Trace.Lines[index].Resend; again != nil {
--- a/internal/replay/live/resend_test.go
+++ b/internal/replay/live/resend_test.go
@@ -10,9 +10,9 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// A caller's request goes to three entries at the same moment under one id. Its
-// line and the two that repeat it run side by side, so a repeat may come first;
-// it must wait for the id, and each must go to another entry of one list.
+// A caller sends a request to three entries at the same time under one id. The
+// line and the two that repeat it run concurrently, so a repeat may come first. It
+// must wait for the id, and each line must use a different entry of the list.
 var _ = It("sends a repeated id to the next entry each time", func() {
 	again := func(of int) trace.Line { return trace.Line{Resend: &trace.Resend{Of: of, SameID: true}} }
 	lines := []trace.Line{{}, again(0), again(0), {}}
--- a/internal/replay/live/stream.go
+++ b/internal/replay/live/stream.go
@@ -16,20 +16,21 @@
 	"sycamoretrail/internal/core/outcome"
 )
 
-// Faults of an answer that claims to be whole.
+// Faults of an answer that is declared complete.
 const (
-	faultNumbering = "chunks not numbered one by one"
-	faultCount     = "count differs from the end mark"
-	faultChecksum  = "checksum differs"
-	faultForeign   = "answer of another request"
-	faultEmpty     = "no chunks"
+	faultNumbering    = "chunks not numbered one by one"
+	faultCount        = "count differs from the end mark"
+	faultChecksum     = "checksum differs"
+	faultOtherRequest = "answer of another request"
+	faultEmpty        = "no chunks"
 )
 
-// errCut: the stream ended without its outcome; the caller attaches again.
-var errCut = errors.New("stream ended without an outcome")
+// errTruncated is returned if the stream ends without its outcome event. The caller then
+// attaches again.
+var errTruncated = errors.New("stream ended without an outcome")
 
-// endMark is the data of the outcome event.
-type endMark struct {
+// outcomeEvent is the data of the outcome event, which ends a stream.
+type outcomeEvent struct {
 	Outcome      outcome.Outcome `json:"outcome"`
 	Reason       outcome.Reason  `json:"reason"`
 	RetryAfterMS int64           `json:"retry_after_ms"`
@@ -37,12 +38,12 @@
 	Checksum     string          `json:"checksum"`
 }
 
-// answer gathers a streamed answer over one or more connections.
+// answer collects a streamed answer over one or more connections.
 type answer struct {
-	// ids are the request's, and that of the earlier request whose key it
-	// repeats: its answer is this one's too.
+	// ids are the request's own id and that of the earlier request that it repeats,
+	// whose answer is valid for both.
 	ids []string
-	// next is the number of the chunk that is due.
+	// next is the number of the next expected chunk.
 	next   int
 	digest *xxhash.Digest
 	fault  string
@@ -53,7 +54,7 @@
 
 func newAnswer(ids ...string) *answer { return &answer{ids: ids, digest: xxhash.New()} }
 
-// own reports whether an answer of a request id is this request's.
+// own reports whether the answer to the request id is valid for this request.
 func (a *answer) own(id string) bool { return slices.Contains(a.ids, id) }
 
 // event is one server-sent event.
@@ -61,16 +62,17 @@
 	name, id, data string
 }
 
-// follow reads a stream to its outcome, or returns errCut or a read error.
-func (a *answer) follow(r io.Reader) (endMark, error) {
+// follow reads a stream up to its outcome event. It returns errTruncated if there is
+// none, or the error of the read.
+func (a *answer) follow(r io.Reader) (outcomeEvent, error) {
 	reader := bufio.NewReader(r)
 	for {
 		e, err := readEvent(reader)
 		if errors.Is(err, io.EOF) {
-			return endMark{}, errCut
+			return outcomeEvent{}, errTruncated
 		}
 		if err != nil {
-			return endMark{}, err
+			return outcomeEvent{}, err
 		}
 		if e.name == "outcome" {
 			return a.end(e)
@@ -81,8 +83,8 @@
 	}
 }
 
-// chunk takes one numbered chunk. A chunk seen already is dropped: after an
-// attach the entry may begin earlier than asked.
+// chunk adds one numbered chunk. It ignores duplicates: after an attach the entry
+// may begin with an earlier chunk than requested.
 func (a *answer) chunk(e event, now time.Time) {
 	number, err := strconv.Atoi(e.id)
 	if err != nil || number > a.next {
@@ -95,7 +97,7 @@
 	if number == 0 {
 		a.first = now
 		if !slices.ContainsFunc(a.ids, func(id string) bool { return strings.Contains(e.data, id) }) {
-			a.setFault(faultForeign)
+			a.setFault(faultOtherRequest)
 		}
 	} else {
 		a.gaps = append(a.gaps, now.Sub(a.last))
@@ -105,11 +107,11 @@
 	_, _ = a.digest.WriteString(e.data)
 }
 
-// end compares the end mark of a whole answer with what came.
-func (a *answer) end(e event) (endMark, error) {
-	var mark endMark
+// end compares the outcome event of a complete answer with the received chunks.
+func (a *answer) end(e event) (outcomeEvent, error) {
+	var mark outcomeEvent
 	if err := json.Unmarshal([]byte(e.data), &mark); err != nil {
-		return endMark{}, fmt.Errorf("outcome event: %w", err)
+		return outcomeEvent{}, fmt.Errorf("outcome event: %w", err)
 	}
 	if mark.Outcome != outcome.Answered {
 		return mark, nil
@@ -131,11 +133,11 @@
 	}
 }
 
-// checksum is how entries write an xxhash64: 16 hex digits.
+// checksum formats an xxhash64 as entries do, as 16 hex digits.
 func checksum(d *xxhash.Digest) string { return fmt.Sprintf("%016x", d.Sum64()) }
 
-// readEvent reads up to the empty line that ends an event. Comments are passed
-// over; an event cut off by the end of the stream is no event.
+// readEvent reads one event up to the empty line that ends it. It skips comments
+// and discards an event that is truncated by the end of the stream.
 func readEvent(r *bufio.Reader) (event, error) {
 	var e event
 	empty := true
