--- a/cmd/sycamore-replay/plot.go
+++ b/cmd/sycamore-replay/plot.go
@@ -98,7 +98,7 @@
 		if err != nil {
 			return nil, err
 		}
-		points = append(points, plot.Former(result, entry.PolicyScheduler)...)
+		points = append(points, plot.FromPreviousSweep(result, entry.PolicyScheduler)...)
 	}
 	for _, labelled := range reports {
 		label, path, found := strings.Cut(labelled, "=")
--- a/internal/replay/plot/plot.go
+++ b/internal/replay/plot/plot.go
@@ -1,4 +1,4 @@
-// Package plot draws goodput, times and wasted prefill against load, and
+// Package plot draws goodput, latencies and wasted prefill against load, and
 // goodput by scenario, as PNG files.
 package plot
 
@@ -28,14 +28,14 @@
 	Goodput    float64
 	FirstToken report.Percentiles
 	InterToken report.Percentiles
-	// Wasted is the part of prefill that was wasted, of all tiers.
+	// Wasted is the share of prefill that was wasted, over all tiers.
 	Wasted float64
 }
 
-// boundLabel is the oracle's line.
+// boundLabel is the label of the oracle's bound.
 const boundLabel = "bound"
 
-// FromSweep makes points of a sweep's means, and of its bound.
+// FromSweep returns points for the means of a sweep and for its bound.
 func FromSweep(r *sweep.Result) []Point {
 	var points []Point
 	drawn := map[string]bool{}
@@ -51,16 +51,16 @@
 	return points
 }
 
-// Former makes points of one policy of a former version's sweep.
-func Former(r *sweep.Result, policy entry.Policy) []Point {
-	points := only(FromSweep(r), func(p Point) bool { return p.Label == string(policy) })
+// FromPreviousSweep returns points for one policy of the sweep of a previous version.
+func FromPreviousSweep(r *sweep.Result, policy entry.Policy) []Point {
+	points := filter(FromSweep(r), func(p Point) bool { return p.Label == string(policy) })
 	for i := range points {
 		points[i].Label += " before"
 	}
 	return points
 }
 
-// FromReport makes points of a single report, one for each tier.
+// FromReport returns the points of a single report, one for each tier.
 func FromReport(label string, r *report.Report) []Point {
 	var points []Point
 	for _, tier := range slices.Sorted(maps.Keys(r.Goodput)) {
@@ -70,14 +70,14 @@
 	return points
 }
 
-// Size of a picture.
+// Size of an image.
 const (
 	width  = 16 * vg.Centimeter
 	height = 10 * vg.Centimeter
 )
 
-// Draw writes the pictures NAME-goodput-TIER.png, NAME-ttft-TIER.png and
-// NAME-itl-TIER.png, and NAME-wasted.png where the points know the waste; it
+// Draw writes the images NAME-goodput-TIER.png, NAME-ttft-TIER.png and
+// NAME-itl-TIER.png, and NAME-wasted.png if there are points over all tiers. It
 // returns their paths.
 func Draw(points []Point, dir, name string) ([]string, error) {
 	var files []string
@@ -90,10 +90,10 @@
 		return with(path)
 	}
 	for _, tier := range distinct(points, func(p Point) string { return p.Tier }) {
-		mine := only(points, func(p Point) bool { return p.Tier == tier })
-		timed := only(mine, func(p Point) bool { return p.FirstToken.Count > 0 })
+		ofTier := filter(points, func(p Point) bool { return p.Tier == tier })
+		timed := filter(ofTier, func(p Point) bool { return p.FirstToken.Count > 0 })
 		err := errors.Join(
-			draw("goodput-"+tier, mine, func(path string) error { return drawGoodput(mine, tier, path) }),
+			draw("goodput-"+tier, ofTier, func(path string) error { return drawGoodput(ofTier, tier, path) }),
 			draw("ttft-"+tier, timed, func(path string) error {
 				return drawTimes(timed, "Time to the first token, "+tier, path, func(p Point) report.Percentiles { return p.FirstToken })
 			}),
@@ -105,11 +105,11 @@
 			return files, err
 		}
 	}
-	all := only(points, func(p Point) bool { return p.Tier == sweep.AllTiers && p.Label != boundLabel })
+	all := filter(points, func(p Point) bool { return p.Tier == sweep.AllTiers && p.Label != boundLabel })
 	return files, draw("wasted", all, func(path string) error { return drawWasted(all, path) })
 }
 
-func only(points []Point, which func(Point) bool) []Point {
+func filter(points []Point, which func(Point) bool) []Point {
 	return slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return !which(p) })
 }
 
@@ -117,7 +117,7 @@
 	p := newPlot("Wasted prefill", "wasted / all prefill tokens")
 	p.Y.Min = 0
 	for i, label := range distinct(points, func(p Point) string { return p.Label }) {
-		if err := addLine(p, label, i, 0, along(points, label, func(p Point) float64 { return p.Wasted })); err != nil {
+		if err := addLine(p, label, i, 0, lineOf(points, label, func(p Point) float64 { return p.Wasted })); err != nil {
 			return err
 		}
 	}
@@ -129,7 +129,7 @@
 	p.Y.Min, p.Y.Max = 0, 1.02
 	p.Legend.Top, p.Legend.Left = false, true
 	for i, label := range distinct(points, func(p Point) string { return p.Label }) {
-		line := along(points, label, func(p Point) float64 { return p.Goodput })
+		line := lineOf(points, label, func(p Point) float64 { return p.Goodput })
 		if err := addLine(p, label, i, 0, line); err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 	return save(p, path)
 }
 
-// percentile is one line of a picture of times.
+// percentile is one line in an image of latencies.
 type percentile struct {
 	name string
 	of   func(report.Percentiles) float64
@@ -154,7 +154,7 @@
 	p.Y.Min = 0
 	for i, label := range distinct(points, func(p Point) string { return p.Label }) {
 		for j, which := range drawnPercentiles {
-			line := along(points, label, func(p Point) float64 { return which.of(of(p)) })
+			line := lineOf(points, label, func(p Point) float64 { return which.of(of(p)) })
 			if err := addLine(p, label+" "+which.name, i, j, line); err != nil {
 				return err
 			}
@@ -173,8 +173,8 @@
 	return p
 }
 
-// along is a label's line: the mean of the points at each load.
-func along(points []Point, label string, value func(Point) float64) plotter.XYs {
+// lineOf returns the line of a label: the mean of its points at each load.
+func lineOf(points []Point, label string, value func(Point) float64) plotter.XYs {
 	sum, count := map[float64]float64{}, map[float64]int{}
 	for _, p := range points {
 		if p.Label == label {
@@ -189,8 +189,8 @@
 	return line
 }
 
-// addLine draws one line with its points; colour tells labels apart, dashes the
-// percentiles.
+// addLine draws one line with its points. Colours distinguish labels, dashes
+// distinguish percentiles.
 func addLine(p *plot.Plot, name string, colour, dashes int, values plotter.XYs) error {
 	line, dots, err := plotter.NewLinePoints(values)
 	if err != nil {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// distinct lists the values in order of appearance, the bound last.
+// distinct returns the distinct values in order of appearance, the bound last.
 func distinct(points []Point, of func(Point) string) []string {
 	var values []string
 	for _, p := range points {
--- a/internal/replay/plot/scenarios.go
+++ b/internal/replay/plot/scenarios.go
@@ -12,11 +12,12 @@
 	"sycamoretrail/internal/replay/sweep"
 )
 
-// barWidth is the width of one bar of a scenario picture.
+// barWidth is the width of one bar in an image of scenarios.
 const barWidth = 6
 
-// DrawScenarios writes NAME-scenarios-TIER.png for each tier: the goodput of
-// each policy, and the bound, in each sweep of one load. It returns the paths.
+// DrawScenarios writes NAME-scenarios-TIER.png for each tier, with the goodput of
+// each policy and the bound in each sweep. Each sweep has one load. It returns the
+// paths.
 func DrawScenarios(sweeps []*sweep.Result, dir, name string) ([]string, error) {
 	var names []string
 	var points [][]Point
@@ -39,7 +40,7 @@
 func drawScenarios(points [][]Point, names []string, tier, path string) error {
 	p := newPlot("Goodput by scenario, "+tier, "answered whole and in time / sent")
 	p.X.Label.Text = ""
-	// The legend stands above the bars.
+	// The range leaves space for the legend above the bars.
 	p.Y.Min, p.Y.Max = 0, 1.4
 	labels := distinct(slices.Concat(points...), func(p Point) string { return p.Label })
 	for i, label := range labels {
--- a/internal/replay/report/books.go
+++ b/internal/replay/report/books.go
@@ -9,23 +9,23 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// books tie the targets' runs to the callers' requests.
-type books struct {
+// ledgerIndex indexes the runs of the targets and the calls they belong to.
+type ledgerIndex struct {
 	calls []Call
 	runs  []Run
-	// byID lists the runs of a request id, callOf the first call that used it.
+	// byID holds the runs of a request id, callOf the first call that used it.
 	byID   map[string][]*Run
 	callOf map[string]*Call
-	// answeredOf is the first call of an id whose caller got the whole answer.
+	// answeredOf holds the first call of an id that was answered completely.
 	answeredOf map[string]*Call
-	// byKey lists the runs of a call that may not be repeated, by its key.
+	// byKey holds the runs of non-idempotent calls by onceKey.
 	byKey map[string][]*Run
-	// byPool lists runs in order of their beginning.
+	// byPool holds the runs of a pool in order of their start.
 	byPool map[string][]*Run
 }
 
-func newBooks(in *Input) *books {
-	b := &books{
+func newLedgerIndex(in *Input) *ledgerIndex {
+	b := &ledgerIndex{
 		calls: in.Calls, runs: in.Runs, byID: map[string][]*Run{}, callOf: map[string]*Call{}, answeredOf: map[string]*Call{},
 		byKey: map[string][]*Run{}, byPool: map[string][]*Run{},
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	for i := range b.runs {
-		b.enter(&b.runs[i])
+		b.addRun(&b.runs[i])
 	}
 	for _, runs := range b.byPool {
 		slices.SortStableFunc(runs, func(x, y *Run) int { return cmp.Compare(x.Began, y.Began) })
@@ -47,7 +47,7 @@
 	return b
 }
 
-func (b *books) enter(run *Run) {
+func (b *ledgerIndex) addRun(run *Run) {
 	b.byID[run.ID] = append(b.byID[run.ID], run)
 	b.byPool[run.Pool] = append(b.byPool[run.Pool], run)
 	call := b.callOf[run.ID]
@@ -58,7 +58,8 @@
 	b.byKey[key] = append(b.byKey[key], run)
 }
 
-// onceKey names what may run once: the organisation's key, else the id.
+// onceKey identifies what may run only once: the organisation's idempotency key,
+// or the request id if there is none.
 func onceKey(c *Call) string {
 	if c.Key == "" {
 		return "id/" + c.ID
@@ -66,7 +67,7 @@
 	return "key/" + c.Organisation + "/" + c.Key
 }
 
-func (r *Report) countRuns(b *books) {
+func (r *Report) countRuns(b *ledgerIndex) {
 	seenID := map[string]bool{}
 	for i := range b.runs {
 		run := &b.runs[i]
@@ -96,9 +97,9 @@
 	}
 }
 
-// countPrefill books a run's prefill as used, late or wasted by what became of
-// the call that it was for.
-func (r *Report) countPrefill(b *books, run *Run) {
+// countPrefill counts a run's prefill as wasted or late according to the outcome
+// of its call.
+func (r *Report) countPrefill(b *ledgerIndex, run *Run) {
 	call := b.answeredCall(run.ID)
 	switch {
 	case !run.Complete || call == nil:
@@ -108,9 +109,9 @@
 	}
 }
 
-// answeredCall finds a call of the id whose caller got the whole answer; a
-// request sent again under its id has several.
-func (b *books) answeredCall(id string) *Call {
+// answeredCall returns a call of the id that was answered completely, or else its
+// first call. A request that is sent again under its id has several calls.
+func (b *ledgerIndex) answeredCall(id string) *Call {
 	first := b.callOf[id]
 	if first == nil || first.Answered() {
 		return first
@@ -118,10 +119,10 @@
 	return b.answeredOf[id]
 }
 
-// falselyNotRun: the caller was told "not run", yet a run with the id is in a
-// ledger at any time; or one with its key had begun, unless the refusal itself
-// says that the key is in use.
-func (b *books) falselyNotRun(c *Call) bool {
+// falselyNotRun reports whether the outcome "not run" of a call is false: a ledger
+// has a run with its id, or one with its key that had begun before. The latter is
+// allowed if the refusal declares that the key is in use.
+func (b *ledgerIndex) falselyNotRun(c *Call) bool {
 	if !c.Settled || c.Status.Outcome != outcome.NotRun {
 		return false
 	}
@@ -139,9 +140,9 @@
 	return false
 }
 
-// countInversions compares each refusal for load, and each preemption, with
-// what the pool served at that instant.
-func (r *Report) countInversions(b *books, tolerance time.Duration) {
+// countInversions compares each refusal for load and each preemption with the runs
+// of the pool at that time.
+func (r *Report) countInversions(b *ledgerIndex, tolerance time.Duration) {
 	longest := longestRuns(b)
 	for i := range b.calls {
 		c := &b.calls[i]
@@ -149,7 +150,7 @@
 		if !c.refusedForLoad() && !preempted {
 			continue
 		}
-		lower := b.servedBelow(c, longest[c.Pool], tolerance, preempted)
+		lower := b.lowerTierRun(c, longest[c.Pool], tolerance, preempted)
 		switch {
 		case lower == "":
 		case preempted:
@@ -162,10 +163,11 @@
 	}
 }
 
-// servedBelow finds a run of lower work that the refused call c had to come
-// before. Work that began after c arrived counts whatever it is; work that ran
-// already counts if it could have been cut: an engine's, and repeatable.
-func (b *books) servedBelow(c *Call, longest, tolerance time.Duration, onlyCuttable bool) string {
+// lowerTierRun returns the id of a run of a lower tier that violates the priority
+// of the refused call c, or "". A run that began after c arrived always counts. A
+// run that began before counts only if it was preemptible, that is an idempotent
+// request at an engine.
+func (b *ledgerIndex) lowerTierRun(c *Call, longest, tolerance time.Duration, onlyPreemptible bool) string {
 	runs := b.byPool[c.Pool]
 	at := c.Ended
 	from, _ := slices.BinarySearchFunc(runs, at-longest, func(run *Run, t time.Duration) int {
@@ -175,23 +177,24 @@
 		if run.Began > at-tolerance {
 			break
 		}
-		if run.over(at + tolerance) {
+		if run.endedBy(at + tolerance) {
 			continue
 		}
 		call := b.callOf[run.ID]
 		if call == nil || !c.Tier.Above(call.Tier) {
 			continue
 		}
-		cuttable := call.Kind == request.Engine && call.Idempotent
-		if cuttable || !onlyCuttable && run.Began > c.Sent+tolerance {
+		preemptible := call.Kind == request.Engine && call.Idempotent
+		if preemptible || !onlyPreemptible && run.Began > c.Sent+tolerance {
 			return run.ID
 		}
 	}
 	return ""
 }
 
-// longestRuns bounds how far back a run that still goes on may have begun.
-func longestRuns(b *books) map[string]time.Duration {
+// longestRuns returns the longest run of each pool, which limits how far back a
+// run that is still going on may have begun.
+func longestRuns(b *ledgerIndex) map[string]time.Duration {
 	var end time.Duration
 	for i := range b.calls {
 		end = max(end, b.calls[i].Ended)
--- a/internal/replay/report/observe.go
+++ b/internal/replay/report/observe.go
@@ -1,6 +1,6 @@
-// Package report turns what callers saw and what targets' ledgers say into the
-// figures of a replay. Both modes of the replay feed it the same records, so a
-// figure means the same in each.
+// Package report computes the figures of a replay from the calls of its callers
+// and the ledgers of the targets. Both modes of the replay provide the same
+// records, so a figure has the same meaning in each.
 package report
 
 import (
@@ -10,7 +10,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// Call is one line of the trace and what its caller saw. Times are from the
+// Call is one line of the trace and what its caller received. Times are from the
 // start of the replay.
 type Call struct {
 	Line         int
@@ -23,36 +23,37 @@
 	Idempotent   bool
 
 	Sent time.Duration
-	// First is when the first token came; zero: none did.
+	// First is the arrival of the first token, or zero if none arrived.
 	First time.Duration
-	// Ended is when the final word came, or the caller gave up.
+	// Ended is when the final outcome arrived or the caller gave up.
 	Ended time.Duration
-	// Deadline and FirstTokenBy are bounds from Sent; zero: none.
+	// Deadline and FirstTokenBy are bounds from Sent; zero means none.
 	Deadline, FirstTokenBy time.Duration
 
-	// Settled: the caller was told a final outcome.
+	// Settled reports whether the caller received a final outcome.
 	Settled bool
 	Status  outcome.Status
-	// Fault says what was wrong with an answer that claimed to be whole.
+	// Fault describes what was wrong with an answer that was declared complete.
 	Fault string
 	// Gaps are the times between tokens.
 	Gaps []time.Duration
-	// Attempts counts the entries asked; more than one after an entry's death.
+	// Attempts counts the requests to entries; there is more than one if an entry
+	// failed.
 	Attempts int
-	// EntryFaults say why an entry that was asked gave no final word.
+	// EntryFaults are the reasons why entries gave no final outcome.
 	EntryFaults []string
-	// Asked are their addresses in order; Attached counts those asked for the
-	// rest of a stream by its token.
+	// Asked are the addresses of the entries in order. Attached counts the attempts
+	// that requested the rest of a stream by its token.
 	Asked    []string
 	Attached int
 }
 
-// Answered reports whether the caller holds the whole answer to its request.
+// Answered reports whether the caller received the complete answer to its request.
 func (c *Call) Answered() bool {
 	return c.Settled && c.Status.Outcome == outcome.Answered && c.Fault == ""
 }
 
-// Good reports whether the answer is whole and in time.
+// Good reports whether the answer is complete and in time.
 func (c *Call) Good() bool {
 	if !c.Answered() {
 		return false
@@ -64,7 +65,8 @@
 	return !late
 }
 
-// refusedForLoad reports whether the order of tiers binds this refusal.
+// refusedForLoad reports whether the call was refused for load, where tiers must
+// be refused in order.
 func (c *Call) refusedForLoad() bool {
 	return c.Settled && c.Status.Outcome == outcome.NotRun && c.Status.Reason.Load()
 }
@@ -76,16 +78,16 @@
 	Pool   string
 	ID     string
 	Key    string
-	// Began and Ended by the target's clock; a run still going has Ended zero.
+	// Began and Ended are by the target's clock; Ended is zero while the run goes on.
 	Began, Ended time.Duration
 	Complete     bool
 	Cancelled    bool
 	PromptTokens int
 	CachedTokens int
-	// ComputedPromptTokens is prefill done for the run.
+	// ComputedPromptTokens is the prefill computed for the run.
 	ComputedPromptTokens int
 	Tokens               int
 }
 
-// over reports whether the run had ended at an instant.
-func (r *Run) over(at time.Duration) bool { return r.Ended > 0 && r.Ended <= at }
+// endedBy reports whether the run had ended at the given time.
+func (r *Run) endedBy(at time.Duration) bool { return r.Ended > 0 && r.Ended <= at }
--- a/internal/replay/report/percentiles.go
+++ b/internal/replay/report/percentiles.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Percentiles sums up a set of durations, in milliseconds.
+// Percentiles summarises a set of durations, in milliseconds.
 type Percentiles struct {
 	Count int     `json:"count"`
 	Min   float64 `json:"min"`
@@ -16,7 +16,7 @@
 	Max   float64 `json:"max"`
 }
 
-// percentiles works them out by nearest rank; it sorts its argument.
+// percentiles computes percentiles by nearest rank; it sorts its argument.
 func percentiles(values []time.Duration) Percentiles {
 	if len(values) == 0 {
 		return Percentiles{}
@@ -37,5 +37,5 @@
 	return sorted[max(rank, 1)-1]
 }
 
-// PercentilesOf sums up durations that were measured elsewhere.
+// PercentilesOf returns the percentiles of durations without modifying the slice.
 func PercentilesOf(values []time.Duration) Percentiles { return percentiles(slices.Clone(values)) }
--- a/internal/replay/report/report.go
+++ b/internal/replay/report/report.go
@@ -17,17 +17,17 @@
 	Policy string
 	Seed   uint64
 	Load   float64
-	// Start is the instant from which a live replay's times count.
+	// Start is the time from which the times of a live replay count.
 	Start time.Time
-	// Tiers are the names by rank.
+	// Tiers are the names of the tiers by rank.
 	Tiers []string
 	Calls []Call
 	Runs  []Run
-	// Tolerance is the uncertainty of comparing a caller's time with a ledger's;
-	// an inversion counts only if it exceeds it.
+	// Tolerance is the uncertainty when times of callers and ledgers are compared.
+	// An inversion counts only if it exceeds the tolerance.
 	Tolerance time.Duration
-	// Lost names targets whose ledger could not be read; with any of them the
-	// counts from ledgers are lower bounds.
+	// LostLedgers names the targets whose ledger could not be read. If there are
+	// any, the counts from ledgers are lower bounds.
 	LostLedgers []string
 }
 
@@ -44,32 +44,34 @@
 	RefusedNotRun int `json:"refused_not_run"`
 	RanInPart     int `json:"ran_in_part"`
 	Unknown       int `json:"unknown"`
-	// Unanswered callers never got a final word.
+	// Unanswered counts calls without a final outcome.
 	Unanswered int `json:"unanswered"`
-	// IncompleteAnswers claimed to be whole and were not, or were another's.
+	// IncompleteAnswers counts answers that were declared complete but were not, or
+	// belonged to another request.
 	IncompleteAnswers int `json:"incomplete_answers"`
 	// DispatchedTwice counts request ids that ran more than once.
 	DispatchedTwice int `json:"dispatched_twice"`
-	// NonIdempotentRanTwice counts calls, by key or else by id, that may not be
-	// repeated and ran more than once.
+	// NonIdempotentRanTwice counts non-idempotent calls, by key or else by id, that
+	// ran more than once.
 	NonIdempotentRanTwice int `json:"non_idempotent_ran_twice"`
-	// FalseNotRun counts refusals "not run" of requests that ran.
+	// FalseNotRun counts requests that ran although the outcome was "not run".
 	FalseNotRun int `json:"false_not_run"`
-	// TierInversions counts refusals for load while lower work was served.
+	// TierInversions counts refusals for load while a lower tier was served.
 	TierInversions int `json:"tier_inversions"`
-	// PreemptedAboveLower counts preempted requests while repeatable lower work
-	// that is an engine's ran on in the pool.
+	// PreemptedAboveLower counts requests that were preempted while an idempotent
+	// engine request of a lower tier continued to run in the pool.
 	PreemptedAboveLower int `json:"preempted_above_lower"`
 
-	// Goodput by tier: answered whole and in time / sent.
+	// Goodput is, by tier, the share of requests answered completely and in time.
 	Goodput map[string]float64 `json:"goodput"`
 	Sent    map[string]int     `json:"sent"`
-	// Organisations have the same of each organisation, by tier.
+	// Organisations holds the same for each organisation, by tier.
 	Organisations map[string]map[string]Share `json:"organisations"`
-	// WastedPrefillTokens were computed for runs whose answer nobody got whole.
+	// WastedPrefillTokens were computed for runs whose answer no caller received
+	// completely.
 	WastedPrefillTokens int `json:"wasted_prefill_tokens"`
-	// LatePrefillTokens were computed for whole answers that came too late; they
-	// are not counted as wasted.
+	// LatePrefillTokens were computed for complete answers that were too late. They
+	// do not count as wasted.
 	LatePrefillTokens int `json:"late_prefill_tokens"`
 	PrefillTokens     int `json:"prefill_tokens"`
 	CachedTokens      int `json:"cached_tokens"`
@@ -77,38 +79,39 @@
 	FirstToken map[string]Percentiles `json:"ttft_ms"`
 	InterToken map[string]Percentiles `json:"itl_ms"`
 
-	// Refusals by tier and reason; RetryAfter is the spread of the advice.
+	// Refusals are counted by tier and reason. RetryAfter summarises their
+	// retry-after times.
 	Refusals   map[string]map[outcome.Reason]int `json:"refusals"`
 	RetryAfter Percentiles                       `json:"retry_after_ms"`
-	// Faults of answers, by what was wrong.
+	// AnswerFaults counts faulty answers by fault.
 	AnswerFaults map[string]int `json:"answer_faults,omitempty"`
-	// EntryFaults counts entries that were asked and gave no final word, by why.
+	// EntryFaults counts attempts without a final outcome by reason.
 	EntryFaults map[string]int `json:"entry_faults,omitempty"`
-	// Resent counts requests that were asked of more than one entry.
+	// Resent counts requests that were sent to more than one entry.
 	Resent int `json:"resent"`
 	// RunsByTarget counts the runs in each ledger.
 	RunsByTarget map[string]int `json:"runs_by_target"`
 	LostLedgers  []string       `json:"lost_ledgers,omitempty"`
 	// ToleranceMS is the tolerance used for tier_inversions.
 	ToleranceMS float64 `json:"tolerance_ms"`
-	// Violations name the request ids behind the counts that should be zero,
-	// the first few of each.
+	// Violations holds the first few request ids behind each count that should be
+	// zero.
 	Violations map[string][]string `json:"violations,omitempty"`
 }
 
-// Share is a part of requests that were good.
+// Share counts the good requests among those sent.
 type Share struct {
 	Good int `json:"good"`
 	Sent int `json:"sent"`
 }
 
-// Goodput is the part itself.
+// Goodput returns the share of good requests.
 func (s Share) Goodput() float64 { return float64(s.Good) / float64(max(s.Sent, 1)) }
 
-// violationsKept bounds the examples kept of each sort.
+// violationsKept limits the examples kept of each kind of violation.
 const violationsKept = 10
 
-// Compute works the report out.
+// Compute computes the report of a replay.
 func Compute(in Input) *Report {
 	r := &Report{
 		Trace: in.Trace, Mode: in.Mode, Policy: in.Policy, Seed: in.Seed, Load: in.Load,
@@ -121,9 +124,9 @@
 	}
 	r.countCalls(&in)
 	r.countTiers(&in)
-	books := newBooks(&in)
-	r.countRuns(books)
-	r.countInversions(books, in.Tolerance)
+	index := newLedgerIndex(&in)
+	r.countRuns(index)
+	r.countInversions(index, in.Tolerance)
 	return r
 }
 
@@ -221,13 +224,13 @@
 	return shares
 }
 
-func (r *Report) violation(sort, id string) {
-	if len(r.Violations[sort]) < violationsKept {
-		r.Violations[sort] = append(r.Violations[sort], id)
+func (r *Report) violation(kind, id string) {
+	if len(r.Violations[kind]) < violationsKept {
+		r.Violations[kind] = append(r.Violations[kind], id)
 	}
 }
 
-// WriteFile writes the report as indented JSON; equal reports give equal bytes.
+// WriteFile writes the report as indented JSON. Equal reports give equal bytes.
 func (r *Report) WriteFile(path string) error {
 	data, err := r.Bytes()
 	if err != nil {
@@ -239,7 +242,7 @@
 	return nil
 }
 
-// Bytes is the report's JSON.
+// Bytes returns the report as indented JSON.
 func (r *Report) Bytes() ([]byte, error) {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -248,7 +251,7 @@
 	return append(data, '\n'), nil
 }
 
-// ReadFile reads a report.
+// ReadFile reads a report from a file.
 func ReadFile(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/replay/report/report_test.go
+++ b/internal/replay/report/report_test.go
@@ -19,7 +19,8 @@
 
 const ms = time.Millisecond
 
-// answered is an engine request of tier 0, answered whole within 500 ms.
+// answered returns an idempotent engine request that was answered completely
+// within 500 ms.
 func answered(id string, tier request.Tier) report.Call {
 	return report.Call{ID: id, Organisation: "o", Tier: tier, Pool: "p", Idempotent: true, Sent: 100 * ms, First: 200 * ms,
 		Ended: 600 * ms, Deadline: time.Second, Settled: true, Status: outcome.Complete(), Attempts: 1,
@@ -88,7 +89,7 @@
 		Expect(r.NonIdempotentRanTwice).To(Equal(1))
 	})
 
-	It("counts \"not run\" as false when the id ran, or when its key had run and the refusal does not say so", func() {
+	It("counts \"not run\" as false if the id ran, or if its key had run and the refusal does not declare it", func() {
 		no := refused("a", 0, outcome.ReasonNoTarget, 0, 10*ms)
 		Expect(computed([]report.Call{no}, []report.Run{run("a", 20*ms, 30*ms)}).FalseNotRun).To(Equal(1))
 		Expect(computed([]report.Call{no}, nil).FalseNotRun).To(BeZero())
@@ -104,8 +105,8 @@
 	})
 })
 
-// A high request arrives at 100 ms and is refused for load at 200 ms. Whether
-// that is an inversion depends on what the pool served at 200 ms.
+// A request of the high tier arrives at 100 ms and is refused for load at 200 ms.
+// Whether this is an inversion depends on the runs of the pool at 200 ms.
 var _ = DescribeTable("tier inversions",
 	func(reason outcome.Reason, low func(*report.Call), began, ended time.Duration, want int) {
 		lower := answered("low", 1)
@@ -113,16 +114,16 @@
 		calls := []report.Call{refused("high", 0, reason, 100*ms, 200*ms), lower}
 		Expect(computed(calls, []report.Run{run("low", began, ended)}).TierInversions).To(Equal(want))
 	},
-	Entry("lower work that began after it", outcome.ReasonOverload, func(*report.Call) {}, 150*ms, 300*ms, 1),
-	Entry("lower repeatable work of an engine that ran already", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, 300*ms, 1),
-	Entry("lower work still running, by its ledger", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, time.Duration(0), 1),
-	Entry("lower work that had ended", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, 180*ms, 0),
-	Entry("lower work that began later", outcome.ReasonOverload, func(*report.Call) {}, 250*ms, 300*ms, 0),
+	Entry("a lower run that began after the arrival", outcome.ReasonOverload, func(*report.Call) {}, 150*ms, 300*ms, 1),
+	Entry("a lower idempotent run of an engine that began before", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, 300*ms, 1),
+	Entry("a lower run that has not ended in the ledger", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, time.Duration(0), 1),
+	Entry("a lower run that had ended", outcome.ReasonOverload, func(*report.Call) {}, 50*ms, 180*ms, 0),
+	Entry("a lower run that began after the refusal", outcome.ReasonOverload, func(*report.Call) {}, 250*ms, 300*ms, 0),
 	Entry("a refusal for another reason", outcome.ReasonMalformed, func(*report.Call) {}, 150*ms, 300*ms, 0),
-	Entry("work of its own tier", outcome.ReasonOverload, func(c *report.Call) { c.Tier = 0 }, 150*ms, 300*ms, 0),
-	Entry("another pool's work", outcome.ReasonOverload, func(c *report.Call) { c.ID = "elsewhere" }, 150*ms, 300*ms, 0),
-	Entry("a call that may not be repeated and ran already", outcome.ReasonOverload, func(c *report.Call) { c.Idempotent = false }, 50*ms, 300*ms, 0),
-	Entry("a call that may not be repeated and began after it", outcome.ReasonOverload, func(c *report.Call) { c.Idempotent = false }, 150*ms, 300*ms, 1),
+	Entry("a run of the same tier", outcome.ReasonOverload, func(c *report.Call) { c.Tier = 0 }, 150*ms, 300*ms, 0),
+	Entry("a run of another pool", outcome.ReasonOverload, func(c *report.Call) { c.ID = "elsewhere" }, 150*ms, 300*ms, 0),
+	Entry("a non-idempotent run that began before", outcome.ReasonOverload, func(c *report.Call) { c.Idempotent = false }, 50*ms, 300*ms, 0),
+	Entry("a non-idempotent run that began after the arrival", outcome.ReasonOverload, func(c *report.Call) { c.Idempotent = false }, 150*ms, 300*ms, 1),
 )
 
 var _ = It("counts an inversion only beyond the tolerance", func() {
--- a/internal/replay/report/table.go
+++ b/internal/replay/report/table.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Table prints the report for a person.
+// Table writes the report as a table for reading.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) }
