--- a/internal/replay/virtual/caller.go
+++ b/internal/replay/virtual/caller.go
@@ -19,7 +19,7 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// caller keeps an answer to "which entry", as a client library does.
+// caller caches the list of entries to use, as a client library does.
 type caller struct {
 	world   *world
 	first   int
@@ -28,7 +28,8 @@
 	until   time.Time
 }
 
-// ask finds the entries to use and how long finding them took; false: none answers.
+// ask updates the list of entries if it has expired. It returns the time that this
+// took, and false if no entry answers.
 func (c *caller) ask() (time.Duration, bool) {
 	w := c.world
 	if w.now.Before(c.until) && len(c.entries) > 0 {
@@ -52,30 +53,30 @@
 	return spent, false
 }
 
-// call is one request of a caller, over as many entries as it takes.
+// call is one request of a caller, over one or more entries.
 type call struct {
-	world  *world
-	line   *trace.Line
-	caller *caller
-	seen   report.Call
-	poison bool
-	// source is the line whose content this one has.
+	world         *world
+	line          *trace.Line
+	caller        *caller
+	seen          report.Call
+	crashesTarget bool
+	// source is the line whose content this call has.
 	source  int
 	entries []message.Member
 	prefix  ident.Prefix
 	turn    int
 	giveUp  time.Time
 	open    *attempt
-	// sent: some entry may have got the request under its id.
+	// sent reports whether an entry may have received the request under its id.
 	sent bool
-	// target is named by the stream's token, once an entry gave it.
+	// target is the one in the stream token, empty until an entry returns a token.
 	target string
 	next   int
 	last   time.Duration
 }
 
 func newCall(w *world, index int, line *trace.Line) *call {
-	c := &call{world: w, line: line, source: index, poison: line.CrashesTarget, caller: w.callers[index%len(w.callers)]}
+	c := &call{world: w, line: line, source: index, crashesTarget: line.CrashesTarget, caller: w.callers[index%len(w.callers)]}
 	if line.Resend != nil {
 		c.source = line.Resend.Of
 	}
@@ -108,7 +109,7 @@
 	c.find()
 }
 
-// find asks which entry to use, again after a rest when none answers.
+// find determines the entries to use, and retries after a pause if none answers.
 func (c *call) find() {
 	w := c.world
 	if c.closed() {
@@ -124,8 +125,8 @@
 	w.after(spent, c.send)
 }
 
-// formID keeps an id once formed. A caller that sends an earlier request again
-// under its id begins with another entry of its list.
+// formID forms the id of the request unless it has one. A caller that sends an
+// earlier request again under its id begins with another entry of its list.
 func (c *call) formID() {
 	if c.seen.ID != "" {
 		return
@@ -140,7 +141,7 @@
 	c.seen.ID = string(c.prefix.ID("v" + strconv.Itoa(len(c.world.calls)) + "-" + strconv.Itoa(c.seen.Line)))
 }
 
-// send asks the entry whose turn it is.
+// send sends the request to the entry whose turn it is.
 func (c *call) send() {
 	if c.closed() {
 		return
@@ -148,22 +149,22 @@
 	c.sendTo(c.world.hostAt(c.entries[c.turn%len(c.entries)].CallerAddress), ident.RequestID(c.seen.ID))
 }
 
-// sendTo sends the request to an entry, or attaches there to the stream of an
-// id if a token for one is held.
+// sendTo sends the request to an entry, or attaches there to the stream of an id
+// if the call has a stream token.
 func (c *call) sendTo(h *host, id ident.RequestID) {
 	w := c.world
 	c.seen.Attempts++
 	a := &attempt{call: c, host: h}
 	c.open = a
-	w.after(c.timeLeft().whole+patience, a.impatient)
+	w.after(c.timeLeft().whole+waitLimit, a.timedOut)
 	if h == nil || !h.up {
-		w.after(2*callerDelay, a.broke)
+		w.after(2*callerDelay, a.connectionLost)
 		return
 	}
 	h.attempts = append(h.attempts, a)
 	c.sent = true
-	// The headers tell what is left at the sending; the entry counts from when
-	// it reads them, as the live one does.
+	// The headers contain the time left when the request is sent; the entry counts
+	// from when it reads them, as the live one does.
 	target, left := c.target, c.timeLeft()
 	w.after(callerDelay, func() {
 		h.deliver(func() {
@@ -179,12 +180,12 @@
 	})
 }
 
-// elsewhere turns to the next entry.
-func (c *call) elsewhere() {
+// tryNext continues with the next entry.
+func (c *call) tryNext() {
 	c.caller.until = time.Time{}
 	if !c.sent && c.line.Resend == nil {
-		// The connection was refused, so the id never left: it is dropped with its
-		// prefix, whose owner is likely gone.
+		// The connection was refused, so no entry received the id. It is discarded
+		// with its prefix, whose owner has probably ended.
 		c.seen.ID = ""
 		c.find()
 		return
@@ -199,7 +200,7 @@
 
 func (c *call) closed() bool { return c.seen.Ended != 0 }
 
-// close ends the call without a final word, if there was none.
+// close ends the call without a final outcome, unless it has one.
 func (c *call) close() {
 	if c.closed() {
 		return
@@ -216,7 +217,7 @@
 	c.world.open--
 }
 
-// timeLeft is what is left of a call's bounds; firstToken 0: no bound.
+// timeLeft is the time left of a call's bounds; firstToken is 0 if there is no bound.
 type timeLeft struct{ whole, firstToken time.Duration }
 
 func (c *call) timeLeft() timeLeft {
@@ -228,7 +229,7 @@
 	return left
 }
 
-// request is what the callers' edge makes of the call.
+// request returns the core's request for the call, as the gateway would form it.
 func (c *call) request(left timeLeft) request.Request {
 	now := c.world.now
 	line := c.line
@@ -251,7 +252,8 @@
 	return r
 }
 
-// prefixes are the hashes of the prompt's blocks: equal for what is shared.
+// prefixes returns the hashes of the prompt's blocks, which are equal for a shared
+// prefix.
 func prefixes(line *trace.Line, source int) []uint64 {
 	var hashes []uint64
 	for end := request.PrefixBlockTokens; end <= line.PromptTokens; end += request.PrefixBlockTokens {
@@ -271,7 +273,7 @@
 	flight *flight
 }
 
-// started: the entry's first header came, with the stream's token.
+// started handles the first header of the entry, which has the stream token.
 func (a *attempt) started(f *flight) {
 	a.flight = f
 	if f.stream != nil && f.request.Kind == request.Engine {
@@ -279,7 +281,7 @@
 	}
 }
 
-// token takes one chunk, which reaches the caller a little later.
+// token records one chunk, which reaches the caller after callerDelay.
 func (a *attempt) token(index int) {
 	c := a.call
 	if c.open != a || index < c.next {
@@ -298,7 +300,7 @@
 	c.next = index + 1
 }
 
-// settle gives the caller the final word.
+// settle delivers the final outcome to the caller.
 func (a *attempt) settle(status outcome.Status, tokens int) {
 	c := a.call
 	if c.open != a || c.closed() {
@@ -311,12 +313,12 @@
 		c.seen.Fault = "count differs from the end mark"
 	}
 	c.end(c.world.sinceStart() + callerDelay)
-	c.again()
+	c.resendCrashing()
 }
 
-// sentOn follows a redirect to the answer of the request, or of the first of
-// its key, at another entry.
-func (a *attempt) sentOn(o entry.SeeOther) {
+// redirected follows a redirect to another entry, which has the answer of the request
+// or of the first request with its key.
+func (a *attempt) redirected(o entry.SeeOther) {
 	c := a.call
 	if c.open != a || c.closed() {
 		return
@@ -326,24 +328,24 @@
 	c.sendTo(c.world.hostAt(o.Address), o.Of)
 }
 
-// broke: the connection is gone, since the entry is.
-func (a *attempt) broke() {
+// connectionLost handles the loss of the connection when the entry ends.
+func (a *attempt) connectionLost() {
 	if c := a.call; c.open == a && !c.closed() {
 		c.open = nil
-		c.elsewhere()
+		c.tryNext()
 	}
 }
 
-// impatient: the deadline is long past and the entry says nothing.
-func (a *attempt) impatient() {
+// timedOut handles the wait limit: the deadline has passed without an answer.
+func (a *attempt) timedOut() {
 	if c := a.call; c.open == a && !c.closed() {
 		c.open = nil
 		a.hangUp()
-		c.elsewhere()
+		c.tryNext()
 	}
 }
 
-// hangUp closes the connection, which the entry notices.
+// hangUp closes the connection, which the entry detects.
 func (a *attempt) hangUp() {
 	if a.host == nil {
 		return
@@ -353,7 +355,7 @@
 	a.host.world.after(callerDelay, func() {
 		a.host.deliver(func() {
 			if f := a.host.flights[id]; f != nil {
-				f.left(a)
+				f.removeWaiter(a)
 			}
 		})
 	})
@@ -365,15 +367,15 @@
 	}
 }
 
-// Callers of a poisonous request send it again, under a new id.
+// Callers of a crashing request send it again under a new id.
 const (
-	poisonRetries = 4
-	poisonRest    = 300 * time.Millisecond
+	crashRetries    = 4
+	crashRetryDelay = 300 * time.Millisecond
 )
 
-func (c *call) again() {
+func (c *call) resendCrashing() {
 	w := c.world
-	if !c.poison || c.seen.Status.Outcome == outcome.Answered || c.seen.Line <= -poisonRetries {
+	if !c.crashesTarget || c.seen.Status.Outcome == outcome.Answered || c.seen.Line <= -crashRetries {
 		return
 	}
 	next := newCall(w, 0, c.line)
@@ -381,5 +383,5 @@
 	next.seen.Line = min(c.seen.Line, 0) - 1
 	w.calls = append(w.calls, next)
 	w.open++
-	w.after(callerDelay+poisonRest, next.begin)
+	w.after(callerDelay+crashRetryDelay, next.begin)
 }
--- a/internal/replay/virtual/clock.go
+++ b/internal/replay/virtual/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// event is something that happens at an instant; equal instants keep their order.
+// event is a function to run at a time. Events at the same time keep their order.
 type event struct {
-	// at is in nanoseconds of the epoch's clock.
+	// at is in Unix nanoseconds.
 	at  int64
 	seq uint64
 	do  func()
@@ -14,17 +14,17 @@
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-// clock is the event heap.
+// clock is a virtual clock with its event heap.
 type clock struct {
 	now  time.Time
 	seq  uint64
 	heap []event
 }
 
-// after plans an event.
+// after schedules an event after a delay.
 func (c *clock) after(d time.Duration, do func()) { c.at(c.now.Add(d), do) }
 
-// at plans an event; one in the past happens next.
+// at schedules an event at a time, or as the next one if the time has passed.
 func (c *clock) at(t time.Time, do func()) {
 	if t.Before(c.now) {
 		t = c.now
@@ -33,8 +33,8 @@
 	c.push(event{at: t.UnixNano(), seq: c.seq, do: do})
 }
 
-// push and pop are container/heap's without its interfaces, which cost an
-// allocation for each event.
+// push and pop work like those of container/heap, without its interfaces, which
+// cost an allocation for each event.
 func (c *clock) push(e event) {
 	c.heap = append(c.heap, e)
 	place := len(c.heap) - 1
@@ -76,7 +76,7 @@
 	return first
 }
 
-// every plans an event again and again, for as long as it says so.
+// every schedules a periodic event that repeats while do returns true.
 func (c *clock) every(first, period time.Duration, do func() bool) {
 	var again func()
 	again = func() {
@@ -87,7 +87,7 @@
 	c.after(first, again)
 }
 
-// run makes events happen until the end, or until done says so.
+// run processes events until the end time or until done returns true.
 func (c *clock) run(end time.Time, done func() bool) {
 	for len(c.heap) > 0 && !done() {
 		next := c.pop()
--- a/internal/replay/virtual/decisions_test.go
+++ b/internal/replay/virtual/decisions_test.go
@@ -14,8 +14,8 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// recorder is a real core whose inputs are kept, so that the core alone can do
-// the same again on the real clock.
+// recorder is a real core that records its inputs, so that they can be replayed
+// to the core alone and timed with the real clock.
 type recorder struct {
 	cfg    entry.Config
 	begun  time.Time
@@ -29,7 +29,7 @@
 	in entry.Input
 }
 
-// decisions counts what a core decided about requests: runs begun, and refusals.
+// decisions counts the decisions of a core on requests: dispatches and refusals.
 type decisions struct{ dispatched, refused int }
 
 func (d *decisions) count(outputs []entry.Output) {
@@ -52,7 +52,7 @@
 	return outputs
 }
 
-// again gives a fresh core the same inputs and returns what it decided.
+// again replays the inputs to a new core and returns its decisions.
 func (r *recorder) again() decisions {
 	core := entry.New(r.cfg, r.begun)
 	var made decisions
@@ -63,8 +63,9 @@
 }
 
 // BenchmarkDecisions measures the cores alone, on one processor, with the inputs
-// of a virtual replay of 20 s over 6 entries: real time and allocations of
-// all steps (offers, grants, heartbeats, ticks, reports) for each decision.
+// of a virtual replay of 20 s with 6 entries. It reports the real time and the
+// allocations of all steps (offers, grants, heartbeats, ticks, reports) per
+// decision.
 func BenchmarkDecisions(b *testing.B) {
 	for _, deployment := range []trace.Deployment{trace.Tanglaw, trace.Quebracho} {
 		for _, load := range []float64{1, 2, 4} {
--- a/internal/replay/virtual/faults.go
+++ b/internal/replay/virtual/faults.go
@@ -13,38 +13,39 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// FaultKind names a failure that a schedule brings about.
+// FaultKind names a kind of fault in a schedule.
 type FaultKind string
 
 const (
-	// TargetCrash: the target loses all and refuses connections for the time.
+	// TargetCrash makes a target lose its state and refuse connections for ForMS.
 	TargetCrash FaultKind = "target_crash"
-	// TargetStraggle: the target takes Factor times as long.
+	// TargetStraggle slows a target down by Factor.
 	TargetStraggle FaultKind = "target_straggle"
-	// TargetLeave: the target says that it leaves, and takes nothing new.
+	// TargetLeave makes a target announce its departure and reject new requests.
 	TargetLeave FaultKind = "target_leave"
-	// LogDown, LogSlow (by SlowMS) and LogLose (answers of appends).
+	// LogDown makes the log unavailable, LogSlow delays its answers by SlowMS, and
+	// LogLose drops the answers of appends.
 	LogDown FaultKind = "log_down"
 	LogSlow FaultKind = "log_slow"
 	LogLose FaultKind = "log_lose"
-	// ListLag: the instance list shows the state of SlowMS ago.
+	// ListLag makes the instance list show its state of SlowMS ago.
 	ListLag FaultKind = "list_lag"
-	// EntryKill: the process dies, and another starts in its place after the time.
+	// EntryKill ends an entry process and starts a new one after ForMS.
 	EntryKill FaultKind = "entry_kill"
-	// EntryPause: the process stands still for the time and goes on.
+	// EntryPause suspends an entry process for ForMS.
 	EntryPause FaultKind = "entry_pause"
-	// PeerCut: nothing passes between Entry and Other; PeerCutOneWay: nothing
-	// passes from Entry to Other.
+	// PeerCut drops all messages between Entry and Other, PeerCutOneWay those from
+	// Entry to Other.
 	PeerCut       FaultKind = "peer_cut"
 	PeerCutOneWay FaultKind = "peer_cut_one_way"
-	// Poison: a caller sends a request that crashes every engine that runs it,
-	// and sends it again after each failure.
-	Poison FaultKind = "poison"
+	// CrashingRequest makes a caller send a request that crashes each engine that runs it,
+	// and send it again after each failure.
+	CrashingRequest FaultKind = "poison"
 )
 
-// Fault is one failure of a schedule. Targets and entries are named by their
-// place, so that a schedule fits both deployments: Engine and Service count the
-// document's engines and services.
+// Fault is one fault of a schedule. Targets and entries are given by index, so
+// that a schedule fits both deployments: Engine and Service are indices among the
+// engines and services of the document.
 type Fault struct {
 	AtMS    int64     `json:"at_ms"`
 	ForMS   int64     `json:"for_ms"`
@@ -57,14 +58,14 @@
 	SlowMS  int64     `json:"slow_ms,omitempty"`
 }
 
-// ErrFault is wrapped by every error about a schedule.
+// ErrFault is wrapped by the errors of an invalid schedule.
 var ErrFault = errors.New("fault cannot be caused")
 
 const (
-	// poisonDelay is how long a target runs a poisonous request before it dies,
-	// poisonOutage how long it is away then.
-	poisonDelay  = 30 * time.Millisecond
-	poisonOutage = time.Second
+	// crashDelay is how long a target runs a crashing request before it crashes,
+	// poisonOutage how long it is unavailable afterwards.
+	crashDelay  = 30 * time.Millisecond
+	crashOutage = time.Second
 )
 
 // ReadFaults reads a schedule: a JSON list of faults.
@@ -90,15 +91,15 @@
 		at := w.start.Add(time.Duration(f.AtMS) * time.Millisecond)
 		w.at(at, begin)
 		if end != nil {
-			w.at(at.Add(f.lasts()), end)
+			w.at(at.Add(f.duration()), end)
 		}
 	}
 	return nil
 }
 
-func (f *Fault) lasts() time.Duration { return time.Duration(f.ForMS) * time.Millisecond }
+func (f *Fault) duration() time.Duration { return time.Duration(f.ForMS) * time.Millisecond }
 
-// fault says what a fault's beginning and end do.
+// fault returns the functions that begin and end a fault; end may be nil.
 func (w *world) fault(f *Fault) (begin, end func(), err error) {
 	switch f.Kind {
 	case TargetCrash, TargetStraggle, TargetLeave:
@@ -115,8 +116,8 @@
 	case ListLag:
 		lag := time.Duration(f.SlowMS) * time.Millisecond
 		return func() { w.listLag = lag }, func() { w.listLag = 0 }, nil
-	case Poison:
-		return w.poisonFault()
+	case CrashingRequest:
+		return w.crashingRequestFault()
 	}
 	return nil, nil, fmt.Errorf("%w: unknown kind %q", ErrFault, f.Kind)
 }
@@ -128,7 +129,7 @@
 	}
 	switch f.Kind {
 	case TargetCrash:
-		return func() { t.crash(f.lasts()) }, nil, nil
+		return func() { t.crash(f.duration()) }, nil, nil
 	case TargetStraggle:
 		return func() { t.setStraggle(f.Factor) }, func() { t.setStraggle(1) }, nil
 	}
@@ -138,35 +139,35 @@
 			if t.engine != nil {
 				t.engine.SetLeaving(leaving)
 			}
-			w.noteList()
+			w.recordList()
 		}
 	}
 	return leave(true), leave(false), nil
 }
 
-// faultTarget finds the fault's engine or service.
+// faultTarget returns the engine or service of a fault.
 func (w *world) faultTarget(f *Fault) (*target, error) {
 	if f.Engine == nil && f.Service == nil {
-		return nil, fmt.Errorf("%w: neither engine nor service is named", ErrFault)
+		return nil, fmt.Errorf("%w: neither engine nor service is given", ErrFault)
 	}
 	declared := FaultTarget(w.options.Document, f)
 	if declared == nil {
-		return nil, fmt.Errorf("%w: the document has no target of that kind at that place", ErrFault)
+		return nil, fmt.Errorf("%w: the document has no target of that kind at that index", ErrFault)
 	}
 	return w.byName[declared.Name], nil
 }
 
-// FaultTarget is the document's target that a fault is about: the n-th engine or
-// service. nil: there is none.
+// FaultTarget returns the document's target of a fault, the n-th engine or service,
+// or nil if there is none.
 func FaultTarget(doc *document.Document, f *Fault) *document.Target {
-	place, kind := f.Engine, document.KindEngine
-	if place == nil {
-		place, kind = f.Service, document.KindService
+	index, kind := f.Engine, document.KindEngine
+	if index == nil {
+		index, kind = f.Service, document.KindService
 	}
-	if place == nil {
+	if index == nil {
 		return nil
 	}
-	left := *place
+	left := *index
 	for i := range doc.Targets {
 		class := trace.ClassOf(doc, doc.Targets[i].Class)
 		if class == nil || class.Kind != kind {
@@ -188,26 +189,26 @@
 	case EntryKill:
 		return func() { w.hosts[f.Entry].kill() }, func() { w.replaceEntry(f.Entry) }, nil
 	case EntryPause:
-		return func() { w.hosts[f.Entry].paused = true }, func() { w.hosts[f.Entry].wake() }, nil
+		return func() { w.hosts[f.Entry].paused = true }, func() { w.hosts[f.Entry].unpause() }, nil
 	}
 	directions := []direction{{f.Entry, f.Other}}
 	if f.Kind == PeerCut {
 		directions = append(directions, direction{f.Other, f.Entry})
 	}
-	return func() { w.cutLinks(directions) }, func() { w.healLinks(directions) }, nil
+	return func() { w.cutLinks(directions) }, func() { w.restoreLinks(directions) }, nil
 }
 
 func (w *world) replaceEntry(place int) {
 	w.startEntry(place)
-	w.noteList()
+	w.recordList()
 }
 
-// cutLinks stops what passes. The receiving end counts its link as broken when
-// nothing has come for a while.
+// cutLinks drops the messages in the given directions. The receiving end reports
+// its link as down after linkTimeout.
 func (w *world) cutLinks(directions []direction) {
 	for _, d := range directions {
 		w.cut[d] = true
-		w.after(cutNoticed, func() {
+		w.after(linkTimeout, func() {
 			if w.cut[d] {
 				w.hosts[d.to].input(entry.PeerDown{Incarnation: w.hosts[d.from].member.Incarnation})
 			}
@@ -215,19 +216,20 @@
 	}
 }
 
-func (w *world) healLinks(directions []direction) {
+func (w *world) restoreLinks(directions []direction) {
 	for _, d := range directions {
 		delete(w.cut, d)
 		w.connect(w.hosts[d.to], w.hosts[d.from])
 	}
 }
 
-// poisonFault sends a copy of the trace's first engine request, poisoned.
-func (w *world) poisonFault() (begin, end func(), err error) {
+// crashingRequestFault sends a copy of the trace's first engine request as a crashing
+// request.
+func (w *world) crashingRequestFault() (begin, end func(), err error) {
 	lines := w.options.Trace.Lines
 	first := slices.IndexFunc(lines, func(l trace.Line) bool { return l.Kind == trace.Engine })
 	if first < 0 {
-		return nil, nil, fmt.Errorf("%w: no engine request to poison", ErrFault)
+		return nil, nil, fmt.Errorf("%w: no engine request in the trace to copy", ErrFault)
 	}
 	line := lines[first]
 	line.CrashesTarget, line.Resend = true, nil
--- a/internal/replay/virtual/flight.go
+++ b/internal/replay/virtual/flight.go
@@ -11,21 +11,22 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// flight is a request at the edges of one entry.
+// flight is a request in flight at one entry.
 type flight struct {
-	host    *host
-	id      ident.RequestID
-	request request.Request
-	poison  bool
-	waiters []*attempt
-	// stream is the connection to the target, once there is one.
+	host          *host
+	id            ident.RequestID
+	request       request.Request
+	crashesTarget bool
+	waiters       []*attempt
+	// stream is the connection to the target, or nil.
 	stream *stream
-	// tokens received so far are held, for callers that join.
+	// tokens is the number of tokens received, which are retained for callers that
+	// join later.
 	tokens int
 	status *outcome.Status
 }
 
-// flight finds or makes the flight of an id.
+// flight returns the flight of an id and creates it if there is none.
 func (h *host) flight(id ident.RequestID) *flight {
 	f := h.flights[id]
 	if f == nil {
@@ -35,7 +36,7 @@
 	return f
 }
 
-// submit takes a caller's request in.
+// submit handles a request of a caller.
 func (h *host) submit(a *attempt, r request.Request) {
 	if h.view == nil || h.view.Document == nil || h.view.State == message.Starting {
 		a.settle(outcome.Refused(outcome.ReasonNotReady, time.Second, ""), 0)
@@ -43,14 +44,14 @@
 	}
 	f := h.flight(r.ID)
 	f.waiters = append(f.waiters, a)
-	f.poison = a.call.poison
+	f.crashesTarget = a.call.crashesTarget
 	if f.stream == nil {
 		f.request = r
 	}
 	h.step(entry.Submit{Request: r})
 }
 
-// resume takes a caller in that comes with a stream's token.
+// resume handles a caller that attaches with a stream token.
 func (h *host) resume(a *attempt, id ident.RequestID, target string) {
 	f := h.flight(id)
 	f.waiters = append(f.waiters, a)
@@ -65,8 +66,8 @@
 	}
 }
 
-// join lets callers that came with an id read the answer of another: the first
-// request of their idempotency key.
+// join makes callers of one id read the answer of another one: that of the first
+// request with their idempotency key.
 func (h *host) join(o entry.Join) {
 	f := h.flight(o.Of)
 	if o.Of != o.ID {
@@ -77,16 +78,16 @@
 	f.joinWaiting()
 }
 
-// sendOn redirects the callers to the entry that holds the answer.
-func (f *flight) sendOn(o entry.SeeOther) {
+// redirect redirects the callers to the entry that has the answer.
+func (f *flight) redirect(o entry.SeeOther) {
 	waiting := f.waiters
 	f.waiters = nil
 	for _, a := range waiting {
-		f.host.world.after(callerDelay, func() { a.sentOn(o) })
+		f.host.world.after(callerDelay, func() { a.redirected(o) })
 	}
 }
 
-// joinWaiting gives callers that came later what is held already.
+// joinWaiting delivers the retained tokens and outcome to callers that join later.
 func (f *flight) joinWaiting() {
 	for _, a := range f.waiters {
 		a.started(f)
@@ -99,7 +100,7 @@
 	}
 }
 
-// settle gives every waiting caller the final word.
+// settle delivers the final outcome to all waiting callers.
 func (f *flight) settle(status outcome.Status) {
 	f.status = &status
 	waiting := f.waiters
@@ -109,8 +110,8 @@
 	}
 }
 
-// left takes a caller out; the core learns when nobody waits any more.
-func (f *flight) left(a *attempt) {
+// removeWaiter removes a caller and reports CallerGone to the core after the last one.
+func (f *flight) removeWaiter(a *attempt) {
 	f.waiters = slices.DeleteFunc(f.waiters, func(other *attempt) bool { return other == a })
 	if len(f.waiters) == 0 && f.status == nil {
 		f.host.input(entry.CallerGone{ID: f.id})
@@ -122,8 +123,8 @@
 	host   *host
 	flight *flight
 	target *target
-	// attached streams follow a run that another entry dispatched; the core
-	// hears nothing of them.
+	// attached streams follow a run that another entry dispatched. They are not
+	// reported to the core.
 	attached bool
 	began    time.Time
 	first    time.Time
@@ -144,8 +145,8 @@
 		w.after(targetDelay, func() { h.deliver(func() { s.end(message.ResultNotAdmitted, false) }) })
 		return
 	}
-	r, poison := f.request, f.poison
-	w.after(targetDelay, func() { t.take(s, &r, poison) })
+	r, crashes := f.request, f.crashesTarget
+	w.after(targetDelay, func() { t.submit(s, &r, crashes) })
 	w.at(o.Deadline, func() { h.deliver(s.expire) })
 }
 
@@ -185,7 +186,7 @@
 	w.after(targetDelay, func() { t.attach(s, string(of)) })
 }
 
-// started: the target took the request.
+// started handles the acceptance of the request by the target.
 func (s *stream) started() {
 	for _, a := range s.flight.waiters {
 		a.started(s.flight)
@@ -195,7 +196,7 @@
 	}
 }
 
-// token takes one token from the target and passes it to the callers.
+// token forwards one token of the target to the callers.
 func (s *stream) token(index, cached int) {
 	now := s.host.world.now
 	if s.closed || index != s.tokens {
@@ -219,8 +220,8 @@
 	}
 }
 
-// end closes the stream. A whole answer carries its own outcome; of all else
-// the core says what the caller is told.
+// end closes the stream. A complete answer has its own outcome; in all other
+// cases the core decides on the outcome.
 func (s *stream) end(result message.Result, wrote bool) {
 	if s.closed {
 		return
@@ -242,7 +243,7 @@
 	s.host.step(entry.RunEnded{ID: f.id, Result: result, Sample: s.sample(), Wrote: wrote})
 }
 
-// lost: the target does not hold the stream that was to be followed.
+// lost handles a target that does not have the stream to attach to.
 func (s *stream) lost() {
 	s.closed = true
 	s.flight.stream = nil
--- a/internal/replay/virtual/host.go
+++ b/internal/replay/virtual/host.go
@@ -10,42 +10,43 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// host is one entry process: the core and what stands at its edges.
+// host is one entry process: the core and the adapters round it.
 type host struct {
 	world  *world
-	place  int
+	index  int
 	member message.Member
 	core   Core
 	view   *entry.View
 	up     bool
-	// paused: what arrives waits in the backlog until the process wakes.
+	// paused processes collect inputs in the backlog until they resume.
 	paused  bool
 	backlog []func()
 	flights map[ident.RequestID]*flight
-	// attempts are the callers' connections that are open here.
+	// attempts are the open connections of callers.
 	attempts []*attempt
 	follows  map[record.Stream]*follow
 }
 
-func newHost(w *world, place int, member message.Member) *host {
+func newHost(w *world, index int, member message.Member) *host {
 	cfg := entry.Config{Self: member, Seed: w.random.Uint64(), Policy: w.options.Policy}
 	return &host{
-		world: w, place: place, member: member, core: w.options.core(cfg, w.now), up: true,
+		world: w, index: index, member: member, core: w.options.core(cfg, w.now), up: true,
 		flights: map[ident.RequestID]*flight{}, follows: map[record.Stream]*follow{},
 	}
 }
 
-// begin starts the process's timers. Places are a little apart in time, as
-// processes are.
+// begin starts the timers of the process. They are offset by the index, since the
+// timers of real processes are not synchronised either.
 func (h *host) begin() {
 	w := h.world
-	apart := time.Duration(h.place) * time.Millisecond
+	apart := time.Duration(h.index) * time.Millisecond
 	w.every(apart, tickEvery, h.whileUp(func() { h.input(entry.Tick{}) }))
 	w.every(apart, probeEvery, h.whileUp(h.probeTargets))
 	w.every(apart, listEvery, h.whileUp(func() { h.input(entry.InstanceList{Instances: w.list()}) }))
 }
 
-// whileUp skips the work of a paused process and ends with the process.
+// whileUp returns a timer function that skips its work while the process is
+// paused and stops when the process ends.
 func (h *host) whileUp(do func()) func() bool {
 	return func() bool {
 		if h.up && !h.paused {
@@ -62,7 +63,8 @@
 	}
 }
 
-// deliver makes something happen in the process: now, when it wakes, or never.
+// deliver runs do in the process: at once, after a pause if the process is paused,
+// or not at all if it has ended.
 func (h *host) deliver(do func()) {
 	switch {
 	case !h.up:
@@ -73,18 +75,19 @@
 	}
 }
 
-// input gives the core an input.
+// input delivers an input to the core.
 func (h *host) input(in entry.Input) { h.deliver(func() { h.step(in) }) }
 
 func (h *host) step(in entry.Input) {
 	for _, out := range h.core.Step(h.world.now, in) {
-		h.carryOut(out)
+		h.execute(out)
 	}
 }
 
-// carryOut does what the core wants. Nothing here steps the core at once: an
-// answer always comes as a later event, since outputs last until the next step.
-func (h *host) carryOut(out entry.Output) {
+// execute executes an output of the core. It never steps the core directly,
+// because outputs are valid only until the next step: results are delivered as
+// later events.
+func (h *host) execute(out entry.Output) {
 	switch o := out.(type) {
 	case entry.Dispatch:
 		h.dispatch(o)
@@ -97,7 +100,7 @@
 	case entry.Join:
 		h.join(o)
 	case entry.SeeOther:
-		h.flight(o.ID).sendOn(o)
+		h.flight(o.ID).redirect(o)
 	case entry.Send:
 		h.send(o)
 	case entry.Append:
@@ -113,12 +116,12 @@
 	}
 }
 
-// send passes a message on to a peer, unless one of them is gone or the
-// direction is cut.
+// send sends a message to a peer, unless the peer has ended or the direction is
+// partitioned.
 func (h *host) send(o entry.Send) {
 	w := h.world
 	peer := w.hostOf(o.To)
-	if peer == nil || w.cut[direction{h.place, peer.place}] {
+	if peer == nil || w.cut[direction{h.index, peer.index}] {
 		return
 	}
 	from := h.member.Incarnation
@@ -126,8 +129,8 @@
 	w.after(peerDelay, func() { peer.input(entry.FromPeer{From: from, Message: sent}) })
 }
 
-// detached copies the parts that a core may use again for its next message; the
-// live links encode a message before the next step.
+// detached copies the parts of a message that a core may reuse for its next one.
+// Live links do not need this, as they encode a message before the next step.
 func detached(m message.Message) message.Message {
 	switch typed := m.(type) {
 	case message.Heartbeat:
@@ -152,12 +155,12 @@
 	})
 }
 
-// kill ends the process. Its callers and peers notice by their connections.
+// kill ends the process. Its callers and peers detect this by their connections.
 func (h *host) kill() {
 	w := h.world
 	h.up, h.paused, h.backlog = false, false, nil
 	for _, a := range h.attempts {
-		w.after(callerDelay, a.broke)
+		w.after(callerDelay, a.connectionLost)
 	}
 	h.attempts = nil
 	for _, peer := range w.hosts {
@@ -165,11 +168,11 @@
 			w.after(peerDelay, func() { peer.input(entry.PeerDown{Incarnation: h.member.Incarnation, Refused: true}) })
 		}
 	}
-	w.noteList()
+	w.recordList()
 }
 
-// wake lets a paused process go on: all that arrived meanwhile comes first.
-func (h *host) wake() {
+// unpause resumes a paused process and first delivers what arrived during the pause.
+func (h *host) unpause() {
 	backlog := h.backlog
 	h.paused, h.backlog = false, nil
 	for _, do := range backlog {
--- a/internal/replay/virtual/logservice.go
+++ b/internal/replay/virtual/logservice.go
@@ -8,28 +8,28 @@
 	"sycamoretrail/internal/core/record"
 )
 
-// logService is the platform's log.
+// logService is a fake of the platform's log.
 type logService struct {
 	world   *world
 	streams map[record.Stream][]logged
 	parked  []*follow
-	// down: nothing is answered; slow is added to every answer; loseAnswers:
-	// appends take effect and their answers do not come.
+	// While the log is down no request is answered. slow is added to the delay of
+	// each answer. With loseAnswers, appends take effect but are not answered.
 	down        bool
 	slow        time.Duration
 	loseAnswers bool
-	// budget of appends, refilled at logRate.
+	// budget is the number of appends allowed now, refilled at logRate.
 	budget   float64
 	refilled time.Time
 }
 
-// logged is a record; its offset is its place in the stream, from 1.
+// logged is a record. Its offset is its position in the stream, from 1.
 type logged struct {
 	at   time.Time
 	data []byte
 }
 
-// follow is one entry's reading of a stream.
+// follow is the state of one entry that reads a stream.
 type follow struct {
 	host   *host
 	stream record.Stream
@@ -42,14 +42,14 @@
 	return &logService{world: w, streams: map[record.Stream][]logged{}, budget: logRate, refilled: w.now}
 }
 
-// write adds a record and wakes the reads that wait for it.
+// write appends a record and answers the reads that wait for it.
 func (l *logService) write(stream record.Stream, data []byte) int64 {
 	l.streams[stream] = append(l.streams[stream], logged{l.world.now, slices.Clone(data)})
 	l.wake(func(f *follow) bool { return f.stream == stream })
 	return int64(len(l.streams[stream]))
 }
 
-// wake answers parked reads.
+// wake answers the selected parked reads.
 func (l *logService) wake(which func(*follow) bool) {
 	var kept, woken []*follow
 	for _, f := range l.parked {
@@ -65,7 +65,7 @@
 	}
 }
 
-// append serves an entry's Append.
+// append handles an Append of an entry.
 func (l *logService) append(h *host, o entry.Append) {
 	w := l.world
 	data := slices.Clone(o.Data)
@@ -118,8 +118,8 @@
 	}
 }
 
-// read answers at once, or when there is news, or when the wait is over. The
-// first read of a stream does not wait.
+// read answers at once if there are new records, and otherwise when one arrives or
+// after pollWait. The first read of a stream does not wait.
 func (l *logService) read(f *follow) {
 	w := l.world
 	switch {
@@ -138,13 +138,13 @@
 	}
 }
 
-// again begins the next read; its instant is what LogCaughtUp vouches for.
+// again starts the next read. Its start is the Since of the next LogCaughtUp.
 func (l *logService) again(f *follow) {
 	f.since = l.world.now
 	l.world.after(logDelay, func() { l.read(f) })
 }
 
-// answer delivers what the stream holds beyond the reader's place.
+// answer delivers the records of the stream from the reader's next offset.
 func (l *logService) answer(f *follow) {
 	w := l.world
 	since := f.since
@@ -166,7 +166,7 @@
 	}
 }
 
-// setDown begins or ends an outage; reads that wait learn of it.
+// setDown begins or ends an outage. Waiting reads fail when it begins.
 func (l *logService) setDown(down bool) {
 	l.down = down
 	if !down {
--- a/internal/replay/virtual/options.go
+++ b/internal/replay/virtual/options.go
@@ -1,8 +1,8 @@
 // Package virtual replays a trace on a virtual clock: an event heap, the real
 // core of several entries, and one small fake for each interface (engine, plain
-// service, log, instance list, caller). Messages take a fixed time for each sort
+// service, log, instance list, caller). Messages take a fixed time for each kind
 // of link; hosts, networks and zones are not modelled beyond that. Equal options
-// give equal reports. It never stands in for the live mode.
+// give equal reports. It does not replace the live mode.
 package virtual
 
 import (
@@ -13,12 +13,12 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// Core is the state machine of one entry; *entry.Entry is one.
+// Core is the state machine of one entry, implemented by *entry.Entry.
 type Core interface {
 	Step(now time.Time, in entry.Input) []entry.Output
 }
 
-// Options of a virtual replay.
+// Options are the parameters of a virtual replay.
 type Options struct {
 	Trace    *trace.Trace
 	Document *document.Document
@@ -26,11 +26,11 @@
 	Entries  int
 	Seed     uint64
 	Faults   []Fault
-	// ReportAge is how old the engines' load reports are.
+	// ReportAge is the age of the engines' load reports.
 	ReportAge time.Duration
-	// Tolerance for tier inversions; the virtual clock needs none.
+	// Tolerance applies to tier inversions; the virtual clock requires none.
 	Tolerance time.Duration
-	// NewCore makes the core of an entry; nil: entry.New.
+	// NewCore creates the core of an entry; nil means entry.New.
 	NewCore func(cfg entry.Config, now time.Time) Core
 }
 
@@ -42,7 +42,7 @@
 	logDelay    = 5 * time.Millisecond
 )
 
-// Intervals and limits of the edges, as they are in the live system.
+// Intervals and limits of the adapters round the core, as in the live system.
 const (
 	tickEvery     = 20 * time.Millisecond
 	probeEvery    = 500 * time.Millisecond
@@ -50,24 +50,24 @@
 	progressEvery = 100 * time.Millisecond
 	pollWait      = time.Second
 	logRetry      = 500 * time.Millisecond
-	// streamHeld is how long an engine holds a stream after its end.
+	// streamHeld is how long an engine retains a stream after its end.
 	streamHeld = 30 * time.Second
-	// cutNoticed is when a link on which nothing comes counts as broken.
-	cutNoticed = time.Second
-	// logRate is how many appends a second the log takes.
+	// linkTimeout is the time without traffic after which a link counts as broken.
+	linkTimeout = time.Second
+	// logRate is the number of appends per second that the log accepts.
 	logRate = 400
 )
 
-// What callers do; as in the live mode.
+// Parameters of callers, as in the live mode.
 const (
 	callersPerEntry = 4
 	askTimeout      = 2 * time.Second
 	restAfterRound  = 100 * time.Millisecond
-	patience        = 2 * time.Second
+	waitLimit       = 2 * time.Second
 	giveUp          = 12 * time.Second
 )
 
-// warmUp passes before the trace begins, so that entries can become ready.
+// warmUp is the time before the trace begins, in which entries become ready.
 const warmUp = 5 * time.Second
 
 // epoch is the beginning of virtual time.
--- a/internal/replay/virtual/target.go
+++ b/internal/replay/virtual/target.go
@@ -14,26 +14,26 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// target is a fake back end: an engine or a plain service.
+// target is a fake target: an engine or a plain service.
 type target struct {
 	world                     *world
 	name, pool, address, zone string
 	up, leaving               bool
 	straggle                  float64
-	// ledger is the tester's, and survives a crash.
+	// ledger is for evaluation and survives a crash.
 	ledger []*report.Run
 	held   map[string]*held
-	// generation tells events planned before a crash from those after it.
+	// generation distinguishes events scheduled before a crash from later ones.
 	generation int
 
 	engine  *enginemodel.Model
 	pumping bool
 	loads   []loadReport
 
-	slots   int
-	callFor time.Duration
-	busy    int
-	waiting []*held
+	slots        int
+	callDuration time.Duration
+	busy         int
+	waiting      []*held
 
 	model, version string
 	adapters       []string
@@ -73,12 +73,12 @@
 		return t, nil
 	}
 	t.slots = max(class.MaxInFlight, 1)
-	t.callFor = time.Duration(trace.ServiceMS(class) * float64(time.Millisecond))
+	t.callDuration = time.Duration(trace.ServiceMS(class) * float64(time.Millisecond))
 	return t, nil
 }
 
-// EngineParams makes an engine of a class's declared speed. Half of step_ms at a
-// full batch is the step's fixed part.
+// EngineParams returns the parameters of an engine with the declared speed of a
+// class. Half of step_ms at a full batch is the fixed part of a step.
 func EngineParams(class *document.Class) enginemodel.Params {
 	p := enginemodel.Newer()
 	step := time.Duration(class.StepMS * float64(time.Millisecond))
@@ -104,7 +104,8 @@
 	}
 }
 
-// state is a probe's finding: readiness at once, the load report late.
+// state returns the result of a probe: the current readiness, and a load report of
+// the age of ReportAge.
 func (t *target) state() entry.TargetState {
 	s := entry.TargetState{
 		Target: t.name, Reachable: t.up, Leaving: t.leaving,
@@ -124,7 +125,7 @@
 	return s
 }
 
-// order makes the target hold a model, unless it knows a newer order.
+// order makes the target load a model, unless it has received a newer order.
 func (t *target) order(o entry.Order) entry.OrderDone {
 	if t.checksFencing && o.Fencing < t.fencing {
 		return entry.OrderDone{Target: t.name, Refused: true}
@@ -134,19 +135,19 @@
 	return entry.OrderDone{Target: t.name}
 }
 
-// reply makes something happen at the entry that a stream comes from.
+// reply runs do at the entry of a stream after the delay of the link.
 func (t *target) reply(s *stream, do func()) {
 	t.world.after(targetDelay, func() { s.host.deliver(do) })
 }
 
-// take receives a request.
-func (t *target) take(s *stream, r *request.Request, poison bool) {
+// submit handles a request of a stream.
+func (t *target) submit(s *stream, r *request.Request, crashes bool) {
 	run := &report.Run{
 		Target: t.name, Pool: t.pool, ID: string(r.ID), Key: string(r.Key),
 		Began: t.world.sinceStart(), PromptTokens: r.PromptTokens,
 	}
 	if known := t.held[run.ID]; t.up && known != nil && !known.ended {
-		// A second dispatch while the first runs: the ledger shows it.
+		// This is a second dispatch while the first one runs; the ledger records it.
 		run.Ended = run.Began
 		t.ledger = append(t.ledger, run)
 		t.reply(s, func() { s.end(message.ResultBroken, true) })
@@ -161,8 +162,8 @@
 	h := &held{id: run.ID, run: run, followers: []*stream{s}}
 	t.held[run.ID] = h
 	t.reply(s, s.started)
-	if poison {
-		t.world.after(poisonDelay, func() { t.crash(poisonOutage) })
+	if crashes {
+		t.world.after(crashDelay, func() { t.crash(crashOutage) })
 	}
 	if t.engine != nil {
 		t.pump()
@@ -172,7 +173,7 @@
 	t.serve()
 }
 
-// admit says whether the target takes a request; an engine has it then.
+// admit reports whether the target accepts a request, and submits it to an engine.
 func (t *target) admit(r *request.Request) (message.Result, bool) {
 	if !t.up {
 		return message.ResultNotAdmitted, false
@@ -190,7 +191,7 @@
 	return message.ResultNotAdmitted, err == nil
 }
 
-// pump plans the end of the engine's step under way.
+// pump schedules the end of the current step of the engine.
 func (t *target) pump() {
 	next, running := t.engine.Next()
 	if t.pumping || !running {
@@ -216,16 +217,16 @@
 		}
 		switch e.Kind {
 		case enginemodel.Token:
-			h.gained(t, e)
+			h.addToken(t, e)
 		case enginemodel.Finished:
 			h.run.Complete = true
-			h.fill(e.Usage)
+			h.recordUsage(e.Usage)
 			t.finish(h, message.ResultComplete)
 		}
 	}
 }
 
-func (h *held) gained(t *target, e enginemodel.Event) {
+func (h *held) addToken(t *target, e enginemodel.Event) {
 	if e.Index == 0 {
 		h.cached = e.Cached
 	}
@@ -235,11 +236,11 @@
 	}
 }
 
-func (h *held) fill(u enginemodel.Usage) {
+func (h *held) recordUsage(u enginemodel.Usage) {
 	h.run.CachedTokens, h.run.ComputedPromptTokens, h.run.Tokens = u.Cached, u.ComputedPrompt, u.Tokens
 }
 
-// finish closes the run in the ledger and tells those who follow it.
+// finish closes the run in the ledger and notifies its followers.
 func (t *target) finish(h *held, result message.Result) {
 	h.ended, h.endedAt = true, t.world.now
 	h.run.Ended = t.world.sinceStart()
@@ -249,14 +250,14 @@
 	h.followers = nil
 }
 
-// serve begins waiting calls of a plain service while there are free slots.
+// serve starts waiting calls of a plain service while there are free slots.
 func (t *target) serve() {
 	for t.busy < t.slots && len(t.waiting) > 0 {
 		h := t.waiting[0]
 		t.waiting = t.waiting[1:]
 		t.busy++
 		generation := t.generation
-		t.world.after(time.Duration(float64(t.callFor)*t.straggle), func() {
+		t.world.after(time.Duration(float64(t.callDuration)*t.straggle), func() {
 			if generation != t.generation {
 				return
 			}
@@ -268,8 +269,8 @@
 	}
 }
 
-// cancel ends an engine's stream. A plain call cannot be cancelled: it goes on
-// without its caller.
+// cancel ends a stream of an engine. A plain call cannot be cancelled: it
+// continues without its caller.
 func (t *target) cancel(s *stream) {
 	h := t.held[string(s.flight.id)]
 	if !t.up || h == nil || h.ended {
@@ -283,12 +284,12 @@
 	t.advance()
 	if usage, running := t.engine.Cancel(t.world.now, h.id); running {
 		h.run.Cancelled = true
-		h.fill(usage)
+		h.recordUsage(usage)
 		t.finish(h, message.ResultCancelled)
 	}
 }
 
-// attach gives a stream again, from the token that its reader lacks.
+// attach sends a stream again from the first token that its reader lacks.
 func (t *target) attach(s *stream, id string) {
 	h := t.held[id]
 	expired := h != nil && h.ended && t.world.now.Sub(h.endedAt) > streamHeld
@@ -307,7 +308,8 @@
 	h.followers = append(h.followers, s)
 }
 
-// crash loses all that runs and is held, and refuses connections for a time.
+// crash discards all running and retained requests and refuses connections for the
+// time of the outage.
 func (t *target) crash(outage time.Duration) {
 	if !t.up {
 		return
@@ -317,20 +319,20 @@
 	t.pumping, t.busy, t.waiting = false, 0, nil
 	if t.engine != nil {
 		for _, lost := range t.engine.Reset() {
-			t.held[lost.ID].fill(lost.Usage)
+			t.held[lost.ID].recordUsage(lost.Usage)
 		}
 	}
-	// The ledger keeps the order of the runs, which the map does not.
+	// The ledger is in the order of the runs, which the map is not.
 	for _, run := range t.ledger {
 		if h := t.held[run.ID]; h != nil && h.run == run && !h.ended {
 			t.finish(h, message.ResultBroken)
 		}
 	}
 	t.held = map[string]*held{}
-	t.world.noteList()
+	t.world.recordList()
 	t.world.after(outage, func() {
 		t.up = true
-		t.world.noteList()
+		t.world.recordList()
 	})
 }
 
--- a/internal/replay/virtual/virtual_test.go
+++ b/internal/replay/virtual/virtual_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "virtual replay")
 }
 
-// fault is a safeguard that the double lacks.
+// fault is a defect of the fake core.
 type fault uint8
 
 const (
@@ -36,9 +36,9 @@
 	neverSettles
 )
 
-// double is a core that keeps no promise by itself: it sends each request to
-// the next target of its pool, and settles what breaks.
-type double struct {
+// fakeCore is a fake core without any guarantees. It dispatches each request to the
+// next target of its pool and settles runs that fail.
+type fakeCore struct {
 	self  message.Member
 	fault fault
 	peers []message.Member
@@ -48,7 +48,7 @@
 	out   []entry.Output
 }
 
-func (d *double) Step(now time.Time, in entry.Input) []entry.Output {
+func (d *fakeCore) Step(now time.Time, in entry.Input) []entry.Output {
 	d.out = nil
 	switch i := in.(type) {
 	case entry.Tick:
@@ -64,7 +64,7 @@
 	return d.out
 }
 
-func (d *double) publish() {
+func (d *fakeCore) publish() {
 	if d.view != nil {
 		return
 	}
@@ -75,7 +75,7 @@
 	d.out = append(d.out, entry.Publish{View: d.view})
 }
 
-func (d *double) submit(r request.Request) {
+func (d *fakeCore) submit(r request.Request) {
 	if _, again := d.known[r.ID]; again {
 		d.out = append(d.out, entry.Join{ID: r.ID})
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func (d *double) dispatch(r request.Request, turn int) {
+func (d *fakeCore) dispatch(r request.Request, turn int) {
 	var able []document.Target
 	for _, t := range testDocument().Targets {
 		if t.Pool == r.Pool {
@@ -114,7 +114,7 @@
 	d.out = append(d.out, entry.Dispatch{ID: r.ID, Target: t.Name, Address: t.Address, Kind: r.Kind, Deadline: r.Deadline})
 }
 
-func (d *double) ended(i entry.RunEnded) {
+func (d *fakeCore) ended(i entry.RunEnded) {
 	switch i.Result {
 	case message.ResultNotAdmitted, message.ResultLeaving:
 		d.turn++
@@ -139,7 +139,7 @@
 	return Options{
 		Trace: t, Document: doc, Policy: entry.PolicyAlone, Entries: 3, Seed: 5, Faults: faults,
 		NewCore: func(cfg entry.Config, _ time.Time) Core {
-			return &double{self: cfg.Self, fault: f, known: map[ident.RequestID]request.Request{}}
+			return &fakeCore{self: cfg.Self, fault: f, known: map[ident.RequestID]request.Request{}}
 		},
 	}
 }
@@ -151,7 +151,7 @@
 }
 
 var _ = Describe("the virtual replay", func() {
-	It("answers whole at half load when nothing fails", func() {
+	It("gives complete answers at 0.4 of capacity without faults", func() {
 		r := replayed(options(faultless, 0.4))
 		Expect(r.Requests).To(BeNumerically(">", 100))
 		Expect(r.Unanswered).To(BeZero())
@@ -164,7 +164,7 @@
 		Expect(r.PrefillTokens).To(BeNumerically(">", 10000))
 	})
 
-	It("gives the same report byte for byte, and another for another seed", func() {
+	It("gives the same report byte for byte, and a different one for another seed", func() {
 		faults := []Fault{{AtMS: 1000, ForMS: 1000, Kind: EntryKill, Entry: 1}, {AtMS: 2000, ForMS: 500, Kind: EntryPause, Entry: 2}}
 		first, err := replayed(options(faultless, 1.2, faults...)).Bytes()
 		Expect(err).NotTo(HaveOccurred())
@@ -178,9 +178,9 @@
 		Expect(differs).NotTo(Equal(first))
 	})
 
-	// An entry dies with answers under way. Its callers' connections break; with
-	// the stream's token they attach at another entry from the chunk they lack.
-	It("lets callers of a dead entry take their answers elsewhere", func() {
+	// An entry ends while it streams answers. The connections of its callers break,
+	// and with the stream token they attach at another entry from the next chunk.
+	It("lets callers of a killed entry attach at another entry", func() {
 		r := replayed(options(faultless, 0.4, Fault{AtMS: 3000, ForMS: 2000, Kind: EntryKill, Entry: 0}))
 		Expect(r.Resent).To(BeNumerically(">", 0))
 		Expect(r.Unanswered).To(BeZero())
@@ -188,38 +188,38 @@
 		Expect(r.Goodput["rider"]).To(BeNumerically(">", 0.8))
 	})
 
-	// A target crashes: what ran there ends broken, its callers are told that it
-	// ran in part, and the ledger shows the prefill as wasted.
-	It("shows a target's crash as broken runs and wasted prefill", func() {
+	// A target crashes. Its runs end as broken, their callers receive "ran in part",
+	// and their prefill counts as wasted.
+	It("reports the crash of a target as broken runs and wasted prefill", func() {
 		zero := 0
 		r := replayed(options(faultless, 1.5, Fault{AtMS: 3000, ForMS: 2000, Kind: TargetCrash, Engine: &zero}))
 		Expect(r.RanInPart).To(BeNumerically(">", 0))
 		Expect(r.WastedPrefillTokens).To(BeNumerically(">", 0))
 	})
 
-	// A caller's request kills each engine that runs it, and it asks again.
-	It("sends a poisonous request again, and crashes a target each time", func() {
-		r := replayed(options(faultless, 0.2, Fault{AtMS: 2000, Kind: Poison}))
-		Expect(r.RanInPart).To(BeNumerically(">=", poisonRetries))
+	// A request crashes each engine that runs it, and its caller sends it again.
+	It("resends a crashing request, which crashes a target each time", func() {
+		r := replayed(options(faultless, 0.2, Fault{AtMS: 2000, Kind: CrashingRequest}))
+		Expect(r.RanInPart).To(BeNumerically(">=", crashRetries))
 	})
 
-	DescribeTable("catches a core that breaks a promise",
+	DescribeTable("detects a defective core",
 		func(f fault, figure func(*report.Report) int) {
 			Expect(figure(replayed(options(f, 0.6)))).To(BeNumerically(">", 0))
 			Expect(figure(replayed(options(faultless, 0.6)))).To(BeZero())
 		},
 		Entry("a request dispatched twice", dispatchesTwice, func(r *report.Report) int { return r.DispatchedTwice }),
-		Entry("a call that may not be repeated run twice", dispatchesTwice, func(r *report.Report) int { return r.NonIdempotentRanTwice }),
+		Entry("a non-idempotent call that ran twice", dispatchesTwice, func(r *report.Report) int { return r.NonIdempotentRanTwice }),
 		Entry("a false \"not run\"", refusesFalsely, func(r *report.Report) int { return r.FalseNotRun }),
-		Entry("a higher tier refused while lower work is served", refusesHigherTiers, func(r *report.Report) int { return r.TierInversions }),
-		Entry("no final word", neverSettles, func(r *report.Report) int { return r.Unanswered }),
+		Entry("a higher tier refused while a lower one is served", refusesHigherTiers, func(r *report.Report) int { return r.TierInversions }),
+		Entry("no final outcome", neverSettles, func(r *report.Report) int { return r.Unanswered }),
 	)
 
-	It("brings every kind of fault about", func() {
+	It("injects each kind of fault", func() {
 		one := 1
 		var faults []Fault
 		for i, kind := range []FaultKind{TargetCrash, TargetStraggle, TargetLeave, LogDown, LogSlow, LogLose, ListLag,
-			EntryKill, EntryPause, PeerCut, PeerCutOneWay, Poison} {
+			EntryKill, EntryPause, PeerCut, PeerCutOneWay, CrashingRequest} {
 			faults = append(faults, Fault{AtMS: int64(500 * i), ForMS: 1500, Kind: kind, Engine: &one, Entry: 1, Other: 2, Factor: 5, SlowMS: 300})
 		}
 		r := replayed(options(faultless, 0.5, faults...))
@@ -261,7 +261,7 @@
 		return core.got
 	}
 
-	It("delivers a record once, answers its append, and says when a reader has caught up", func() {
+	It("delivers a record once, answers its append, and reports when a reader has caught up", func() {
 		got := run()
 		records, appended := 0, 0
 		for _, in := range got {
@@ -279,17 +279,18 @@
 		Expect(got[len(got)-1]).To(BeAssignableToTypeOf(entry.LogCaughtUp{}))
 	})
 
-	// The log is out from the start: the append fails, the reader hears of the
-	// outage, and once it is over of everything that the stream holds.
-	It("tells readers of an outage and goes on after it", func() {
+	// The log is unavailable from the start. The append fails, the reader receives
+	// LogDown, and after the outage it reads the complete stream.
+	It("reports an outage to readers and continues after it", func() {
 		got := run(Fault{AtMS: -5000, ForMS: 4000, Kind: LogDown})
 		Expect(got).To(ContainElement(entry.LogDown{Stream: "claims-1"}))
 		Expect(got).To(ContainElement(entry.LogAppended{Tag: 9, Offset: -1, Failed: true}))
 		Expect(got[len(got)-1]).To(BeAssignableToTypeOf(entry.LogCaughtUp{}))
 	})
 
-	// The append takes effect and its answer is lost: neither failed nor an offset.
-	It("loses an append's answer and keeps its effect", func() {
+	// The append takes effect and its answer is lost, so that the result is neither a
+	// failure nor an offset.
+	It("loses the answer of an append and keeps its effect", func() {
 		got := run(Fault{AtMS: -5000, ForMS: 4000, Kind: LogLose})
 		Expect(got).To(ContainElement(entry.LogAppended{Tag: 9, Offset: -1}))
 		Expect(got).To(ContainElement(BeAssignableToTypeOf(entry.LogRecord{})))
--- a/internal/replay/virtual/world.go
+++ b/internal/replay/virtual/world.go
@@ -14,14 +14,14 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// world is a virtual replay under way.
+// world is the state of a virtual replay.
 type world struct {
 	clock
 	options Options
 	random  *rand.Rand
 	start   time.Time
 	zones   []string
-	// hosts are the entry processes that stand now, by place.
+	// hosts are the current entry processes by index.
 	hosts   []*host
 	targets []*target
 	byName  map[string]*target
@@ -29,11 +29,11 @@
 	callers []*caller
 	calls   []*call
 	open    int
-	// cut marks directions between entries in which nothing passes.
+	// cut marks the directions between entries in which messages are dropped.
 	cut map[direction]bool
-	// listed are the states of the instance list, oldest first.
-	listed  []listState
-	listLag time.Duration
+	// listHistory holds the past states of the instance list, oldest first.
+	listHistory []listState
+	listLag     time.Duration
 }
 
 type direction struct{ from, to int }
@@ -43,7 +43,7 @@
 	rows []entry.Instance
 }
 
-// Run replays the trace and returns what the report is made of.
+// Run replays the trace and returns the input of the report.
 func Run(options Options) (report.Input, error) {
 	w := &world{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 0)), byName: map[string]*target{},
@@ -64,7 +64,7 @@
 	return w.result(), nil
 }
 
-// publish puts the document on the log, as its first record.
+// publish writes the document to the log as its first record.
 func (w *world) publish() error {
 	data, err := json.Marshal(w.options.Document)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// build makes targets, entries and callers.
+// build creates the targets, entries and callers.
 func (w *world) build() error {
 	for i := range w.options.Document.Targets {
 		t, err := newTarget(w, &w.options.Document.Targets[i])
@@ -95,21 +95,21 @@
 	for i := range w.hosts {
 		w.startEntry(i)
 	}
-	w.noteList()
+	w.recordList()
 	for i := range w.options.Entries * callersPerEntry {
 		w.callers = append(w.callers, &caller{world: w, first: i})
 	}
 	return nil
 }
 
-// startEntry starts a new process at a place, with nothing kept.
-func (w *world) startEntry(place int) {
+// startEntry starts a new process at an index, without the state of a previous one.
+func (w *world) startEntry(index int) {
 	incarnation := ident.NewIncarnation(w.random.Uint64(), w.now.Unix())
-	h := newHost(w, place, message.Member{
-		Name: fmt.Sprintf("entry-%d", place), Incarnation: incarnation, Zone: w.zones[place%len(w.zones)],
-		PeerAddress: fmt.Sprintf("10.0.0.%d:7000", place+1), CallerAddress: fmt.Sprintf("10.0.0.%d:8000", place+1),
+	h := newHost(w, index, message.Member{
+		Name: fmt.Sprintf("entry-%d", index), Incarnation: incarnation, Zone: w.zones[index%len(w.zones)],
+		PeerAddress: fmt.Sprintf("10.0.0.%d:7000", index+1), CallerAddress: fmt.Sprintf("10.0.0.%d:8000", index+1),
 	})
-	w.hosts[place] = h
+	w.hosts[index] = h
 	h.begin()
 	for _, peer := range w.hosts {
 		if peer != nil && peer != h && peer.up {
@@ -119,14 +119,14 @@
 	}
 }
 
-// connect tells an entry that its link to a peer stands.
+// connect reports to an entry that its link to a peer is up.
 func (w *world) connect(at, peer *host) {
 	member := peer.member
 	w.after(peerDelay, func() { at.input(entry.PeerUp{Member: member}) })
 }
 
-// noteList records the instance list as it is from now on.
-func (w *world) noteList() {
+// recordList records the state of the instance list from now on.
+func (w *world) recordList() {
 	var rows []entry.Instance
 	for _, h := range w.hosts {
 		if h.up {
@@ -138,13 +138,13 @@
 			rows = append(rows, entry.Instance{Name: t.name, Address: t.address, Zone: t.zone, Role: "target", Leaving: t.leaving})
 		}
 	}
-	w.listed = append(w.listed, listState{at: w.now, rows: rows})
+	w.listHistory = append(w.listHistory, listState{at: w.now, rows: rows})
 }
 
-// list is the instance list as its readers see it: late.
+// list returns the instance list as readers see it, with the lag of listLag.
 func (w *world) list() []entry.Instance {
-	seen := w.listed[0]
-	for _, state := range w.listed {
+	seen := w.listHistory[0]
+	for _, state := range w.listHistory {
 		if !state.at.After(w.now.Add(-w.listLag)) {
 			seen = state
 		}
@@ -152,7 +152,8 @@
 	return slices.Clone(seen.rows)
 }
 
-// planCalls plans each line of the trace and returns when all must be over.
+// planCalls schedules each line of the trace and returns the latest time at which
+// all calls have ended.
 func (w *world) planCalls() time.Time {
 	lines := w.options.Trace.Lines
 	end := w.start
@@ -163,7 +164,7 @@
 		end = later(end, w.start.Add(lines[i].At()+c.seen.Deadline+giveUp))
 	}
 	w.open += len(lines)
-	// Callers of poisonous requests go on after the trace's end.
+	// Callers of crashing requests continue after the end of the trace.
 	return end.Add(giveUp + time.Minute)
 }
 
@@ -174,7 +175,7 @@
 	return b
 }
 
-// result hands over what callers saw and what targets' ledgers hold.
+// result returns the calls of the callers and the runs in the ledgers of targets.
 func (w *world) result() report.Input {
 	in := report.Input{
 		Trace: w.options.Trace.Header.Name, Mode: "virtual", Policy: string(w.options.Policy),
@@ -197,10 +198,10 @@
 	return in
 }
 
-// sinceStart is the report's time of now.
+// sinceStart returns the current time as used in the report.
 func (w *world) sinceStart() time.Duration { return w.now.Sub(w.start) }
 
-// hostAt finds the process that answers at a caller address now.
+// hostAt returns the current process with a caller address, or nil.
 func (w *world) hostAt(address string) *host {
 	for _, h := range w.hosts {
 		if h.member.CallerAddress == address {
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// hostOf finds the process of an incarnation.
+// hostOf returns the current process with an incarnation, or nil.
 func (w *world) hostOf(incarnation ident.Incarnation) *host {
 	for _, h := range w.hosts {
 		if h.member.Incarnation == incarnation {
