--- a/internal/replay/faults/callers.go
+++ b/internal/replay/faults/callers.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// copies is how many entries get the same request id at once.
+	// copies is the number of entries that receive the same request id at once.
 	copies = 3
 	// sameEach is the number of such requests of each kind.
 	sameEach = 25
-	// sameFromMS and sameEveryMS say when they are sent.
+	// sameFromMS is the send time of the first request, sameEveryMS the interval.
 	sameFromMS  = 3000
 	sameEveryMS = 60
 )
@@ -45,8 +45,8 @@
 	}
 }
 
-// thrice sends a line, and its id again twice at the same moment; place is the
-// line's index.
+// thrice returns a line and two copies that send its id again at the same time;
+// place is the index of the line.
 func thrice(place int, line trace.Line) []trace.Line {
 	lines := []trace.Line{line}
 	for range copies - 1 {
@@ -57,8 +57,9 @@
 	return lines
 }
 
-// judgeSameID: the request ran once, whoever was asked; each caller got its
-// answer or the truth.
+// judgeSameID checks that each id was sent to different entries and that at least
+// one of its callers received the answer. That it ran once is checked by
+// checkGuarantees.
 func judgeSameID(p *play) {
 	sent := map[string][]*report.Call{}
 	var ids []string
@@ -104,15 +105,15 @@
 }
 
 const (
-	// poisonSendings bounds how often the caller sends its request again.
-	poisonSendings = 8
-	// poisonDeaths is the most targets that one request may kill.
-	poisonDeaths = 2
-	// repairAfter is how long the platform takes to start a dead engine again.
+	// maxCrashingSends limits how often the caller sends its request.
+	maxCrashingSends = 8
+	// maxCrashedTargets is the maximum number of targets that one request may crash.
+	maxCrashedTargets = 2
+	// repairAfter is the time after which the platform restarts a crashed engine.
 	repairAfter = 2 * time.Second
 )
 
-func poison() Failure {
+func crashingRequest() Failure {
 	return Failure{
 		Name: "poison", Load: 0.5, Seconds: 18, kills: true,
 		About: "a request kills every engine that runs it; its caller sends it again at once under new ids",
@@ -127,7 +128,7 @@
 			repaired := make(chan error, 1)
 			go func() { repaired <- p.repair(stop) }()
 			p.begin("first sending")
-			err := p.sendPoison()
+			err := p.sendCrashingRequest()
 			p.sleepUntil(12 * time.Second)
 			close(stop)
 			if fault := <-repaired; fault != nil {
@@ -135,17 +136,17 @@
 			}
 			return err
 		},
-		judge: judgePoison,
+		judge: judgeCrashingRequest,
 	}
 }
 
-// sendPoison sends the request until it is refused for what it does, each time
-// as soon as the last answer is there.
-func (p *play) sendPoison() error {
+// sendCrashingRequest sends the crashing request until it is quarantined, each time as soon
+// as the previous answer has arrived.
+func (p *play) sendCrashingRequest() error {
 	line := question(0, 50)
 	line.CrashesTarget = true
 	t := &trace.Trace{Header: p.trace.Header, Lines: []trace.Line{line}}
-	for n := range poisonSendings {
+	for n := range maxCrashingSends {
 		options := p.options(t)
 		options.Callers = 1
 		in, err := live.Run(p.ctx, options)
@@ -161,12 +162,12 @@
 			return nil
 		}
 	}
-	p.problem("the request was sent %d times and never refused for what it does", poisonSendings)
+	p.problem("the request was sent %d times and never refused for what it does", maxCrashingSends)
 	return nil
 }
 
-// repair starts dead engines again, as the platform does, until stop is closed
-// and all live.
+// repair restarts crashed engines, as the platform does, until stop is closed and
+// all engines run.
 func (p *play) repair(stop <-chan struct{}) error {
 	since := map[string]time.Time{}
 	for {
@@ -199,18 +200,18 @@
 			}
 		default:
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func judgePoison(p *play) {
+func judgeCrashingRequest(p *play) {
 	deaths := 0
 	for _, name := range p.engines() {
 		ledger, err := p.ledger(name)
 		p.require(err == nil, "%v", err)
 		deaths += ledger.Incarnation - 1
 	}
-	p.require(deaths <= poisonDeaths, "the request killed %d engines", deaths)
+	p.require(deaths <= maxCrashedTargets, "the request killed %d engines", deaths)
 	p.require(deaths > 0, "the request killed no engine, so nothing was tried")
 	p.fact("engines killed", float64(deaths), "")
 	innocent := p.calls(func(c *report.Call) bool {
--- a/internal/replay/faults/entries.go
+++ b/internal/replay/faults/entries.go
@@ -14,19 +14,19 @@
 
 const stateReady = "ready"
 
-// takenOver reports whether the other entries schedule all that one scheduled.
+// takenOver returns a condition: the other entries schedule all targets of one.
 func (p *play) takenOver(from *instance) func() bool {
 	return func() bool {
-		return p.everyView(p.but(from), func(view *api.Targets) bool {
+		return p.everyView(p.entriesExcept(from), func(view *api.Targets) bool {
 			return schedules(view, from.name) == 0 && schedules(view, "") == 0
 		})
 	}
 }
 
-// givenBack reports whether an entry schedules targets again in everybody's view.
+// givenBack returns a condition: the entry schedules targets in every entry's view.
 func (p *play) givenBack(to *instance) func() bool {
 	return func() bool {
-		return p.everyView(p.but(), func(view *api.Targets) bool { return schedules(view, to.name) > 0 })
+		return p.everyView(p.entriesExcept(), func(view *api.Targets) bool { return schedules(view, to.name) > 0 })
 	}
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// judgeKilled: streams are read on at another entry; what waited is said to be
-// unknown, since nobody is left who knows.
+// judgeKilled checks that streams continue at another entry, and that the outcome
+// of waiting requests is unknown, since their state was lost with the entry.
 func judgeKilled(p *play) {
 	streams, waiting := 0, 0
 	for _, c := range p.calls(func(c *report.Call) bool { return askedFirst(c, p.victim) && p.openAt(c, p.begun) }) {
@@ -77,9 +77,9 @@
 	p.fact("requests lost waiting", float64(waiting), "")
 }
 
-// pauseLasts is longer than a grant, the silence limit and the time that a
-// caller keeps an answer to "which entry".
-const pauseLasts = 8 * time.Second
+// pauseDuration exceeds the validity of a grant, the failure-detection timeout and
+// the time that a caller caches the list of entries.
+const pauseDuration = 8 * time.Second
 
 func entryPaused() Failure {
 	return Failure{
@@ -91,8 +91,8 @@
 			if err := p.strike(syscall.SIGSTOP, "stopped"); err != nil {
 				return err
 			}
-			p.result.DetectedMS = p.await("the others schedule its targets", p.begun, pauseLasts, p.takenOver(p.victim))
-			time.Sleep(time.Until(p.begun.Add(pauseLasts)))
+			p.result.DetectedMS = p.await("the others schedule its targets", p.begun, pauseDuration, p.takenOver(p.victim))
+			time.Sleep(time.Until(p.begun.Add(pauseDuration)))
 			p.heal("woke %s", p.victim.name)
 			if err := p.signal(p.victim, syscall.SIGCONT); err != nil {
 				return err
@@ -104,9 +104,10 @@
 	}
 }
 
-// judgePaused: what waited in the entry when it stopped may run after it woke
-// while its caller still waits there in time, under a fresh grant. It must not run
-// once its caller has gone elsewhere and been told that nobody knows, nor late.
+// judgePaused checks requests that waited in the entry when it was paused. They
+// may run after the pause under a new grant while their callers still wait there.
+// They must not run after their deadline, nor once their callers have received the
+// outcome "unknown" from another entry.
 func judgePaused(p *play) {
 	waited, ran := 0, 0
 	for _, c := range p.calls(func(c *report.Call) bool { return askedFirst(c, p.victim) && p.openAt(c, p.begun) }) {
@@ -190,7 +191,7 @@
 	}
 }
 
-// ready reports whether an entry's process is ready at a version.
+// ready returns a condition: the entry is ready with the document of a version.
 func (p *play) ready(e *instance, version int64) func() bool {
 	return func() bool {
 		status, err := p.status(e)
@@ -198,7 +199,7 @@
 	}
 }
 
-// replaceInOutage kills the entry again while nobody can read the log.
+// replaceInOutage kills the entry again while the log is unavailable.
 func (p *play) replaceInOutage(version int64) error {
 	p.sleepUntil(12 * time.Second)
 	p.mark("log out")
@@ -215,7 +216,7 @@
 		p.fact("ready in the outage after", *took/1000, "s")
 	}
 	p.await("the new process schedules targets", killed, 10*time.Second, p.givenBack(p.victim))
-	if err := p.askNewcomer(); err != nil {
+	if err := p.callNewProcess(); err != nil {
 		return err
 	}
 	p.healed = p.mark("log back")
@@ -223,20 +224,21 @@
 		return err
 	}
 	p.await("every entry reads the log", p.healed, 10*time.Second, func() bool {
-		return p.everyStatus(p.but(), func(s *api.Status) bool { return s.LogAvailable && s.Version == version })
+		return p.everyStatus(p.entriesExcept(), func(s *api.Status) bool { return s.LogAvailable && s.Version == version })
 	})
 	return nil
 }
 
-// newcomers is the number of requests of callers that know the new process only.
-const newcomers = 30
+// newProcessCalls is the number of requests of callers that have only the address of the
+// new process.
+const newProcessCalls = 30
 
-// askNewcomer sends requests of callers, one in each zone, whose only known
-// address is the new process. Callers that found another entry meanwhile stay
-// there, so the load itself may never come back to it.
-func (p *play) askNewcomer() error {
+// callNewProcess sends requests of callers, one in each zone, whose only address is
+// the new process. Callers that switched to another entry stay there, so the load
+// itself may never return to the new process.
+func (p *play) callNewProcess() error {
 	var lines []trace.Line
-	for n := range newcomers {
+	for n := range newProcessCalls {
 		lines = append(lines, question(int64(n)*20, 100+n))
 	}
 	options := p.options(&trace.Trace{Header: p.trace.Header, Lines: lines})
@@ -249,7 +251,7 @@
 	return nil
 }
 
-// judgeReplaced: the process that brought nothing along serves callers.
+// judgeReplaced checks that the process that started without state serves callers.
 func judgeReplaced(p *play) {
 	served := 0
 	for _, c := range p.calls(func(c *report.Call) bool { return c.Line == addedLine }) {
@@ -266,7 +268,7 @@
 	p.fact("requests of the load that came back to it", float64(len(load)), "")
 }
 
-// publishNext publishes a changed document on the version in force.
+// publishNext publishes a changed document based on the version in force.
 func (p *play) publishNext(id string) (int64, error) {
 	doc, version, err := p.current()
 	if err != nil {
--- a/internal/replay/faults/faults.go
+++ b/internal/replay/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults brings failures about between running processes on loopback,
-// while callers send traffic, and judges what those callers got. It starts no
+// Package faults injects failures into running processes on loopback while
+// callers send traffic, and checks what these callers receive. It starts no
 // process: scripts/faults.sh starts a deployment for each failure, and this
 // package sends signals to its entries and orders to its stand-ins.
 package faults
@@ -19,40 +19,41 @@
 
 // Errors of this package.
 var (
-	// ErrStage is wrapped where the deployment is not as scripts/faults.sh leaves it.
+	// ErrStage is wrapped if the deployment is not as scripts/faults.sh starts it.
 	ErrStage = errors.New("deployment cannot be used")
-	// ErrUnknown: no failure has the name.
+	// ErrUnknown is returned for an unknown name of a failure.
 	ErrUnknown = errors.New("unknown failure")
 )
 
-// Failure is one failure that can be brought about.
+// Failure is one failure that can be injected.
 type Failure struct {
 	Name string
-	// About says in one line what happens.
+	// About describes the failure in one line.
 	About string
 	// Load is the callers' demand as a multiple of the engines' capacity, over
 	// Seconds.
 	Load, Seconds float64
-	// kills: targets die in it. In all others no caller may be told that one did.
+	// kills reports whether targets crash in this failure. In all others no caller
+	// may receive an outcome with the reason that its target failed.
 	kills bool
-	// added are requests besides the usual ones.
+	// added returns requests in addition to the typical traffic.
 	added func() []trace.Line
-	// play brings the failure about, in order, while the load runs.
+	// play injects the failure while the load runs.
 	play func(*play) error
-	// judge holds what callers got against what this failure must leave whole.
+	// judge checks what callers received against the guarantees in this failure.
 	judge func(*play)
 }
 
-// All lists the failures in the order in which they are played.
+// All returns the failures in the order in which they are run.
 func All() []Failure {
 	return []Failure{
 		entryKilled(), entryPaused(), entryReplaced(), plannedStop(),
 		targetDies(), targetLeaving(), logDown(), twoOperators(),
-		sameID(), poison(),
+		sameID(), crashingRequest(),
 	}
 }
 
-// Find returns the failure of a name.
+// Find returns the failure with the given name.
 func Find(name string) (Failure, error) {
 	for _, f := range All() {
 		if f.Name == name {
@@ -62,12 +63,11 @@
 	return Failure{}, fmt.Errorf("%w: %q", ErrUnknown, name)
 }
 
-// seed of every failure's load.
+// seed is the seed of the load, the same for all failures.
 const seed = 1
 
-// Run brings a failure about on a deployment and returns what became of it. An
-// error means that the failure could not be played; a failure that the product
-// did not stand is in the result.
+// Run injects a failure into a deployment and returns the result. An error means
+// that the failure could not be injected; violated guarantees are in the result.
 func Run(ctx context.Context, s *Stage, f Failure) (*Result, error) {
 	t, err := f.trace(s)
 	if err != nil {
@@ -81,7 +81,8 @@
 	return p.result, nil
 }
 
-// trace is the usual traffic of the deployment with the failure's own requests.
+// trace returns the typical traffic of the deployment with the failure's own
+// requests.
 func (f *Failure) trace(s *Stage) (*trace.Trace, error) {
 	t, err := trace.Generate(s.document, trace.Options{
 		Deployment: trace.Tanglaw, Scenario: trace.Usual, Seed: seed, Load: f.Load, Seconds: f.Seconds,
@@ -90,13 +91,14 @@
 		return nil, err
 	}
 	if f.added != nil {
-		t.Lines = mixed(t.Lines, f.added())
+		t.Lines = merge(t.Lines, f.added())
 	}
 	return t, nil
 }
 
-// mixed puts lines among others by time. Resend.Of counts within each list.
-func mixed(lines, added []trace.Line) []trace.Line {
+// merge merges two lists of lines by time. Resend.Of is an index into the list of
+// its line on input, and into the merged list on output.
+func merge(lines, added []trace.Line) []trace.Line {
 	all := slices.Clone(lines)
 	for _, l := range added {
 		if l.Resend != nil {
@@ -127,7 +129,7 @@
 	return sorted
 }
 
-// options of a live replay on the stage.
+// options returns the options of a live replay on the stage.
 func (s *Stage) options(t *trace.Trace) live.Options {
 	options := live.Options{
 		Trace: t, Document: s.document, Tokens: s.tokens,
@@ -140,8 +142,9 @@
 	return options
 }
 
-// joined adds the calls of another replay, its times moved to those of the first.
-func joined(in *report.Input, other report.Input) {
+// addCalls adds the calls of another replay and converts their times to be from the
+// start of the first one.
+func addCalls(in *report.Input, other report.Input) {
 	shift := other.Start.Sub(in.Start)
 	for _, c := range other.Calls {
 		c.Line = addedLine
@@ -154,10 +157,10 @@
 	}
 }
 
-// addedLine stands for the trace's line of a call that is not of the trace.
+// addedLine is the line number of calls that are not in the trace.
 const addedLine = -1
 
-// Milliseconds forms the JSON of a duration.
+// milliseconds converts a duration to the milliseconds used in JSON.
 func milliseconds(d time.Duration) float64 {
 	return float64(d.Microseconds()) / 1000
 }
--- a/internal/replay/faults/faults_test.go
+++ b/internal/replay/faults/faults_test.go
@@ -25,13 +25,13 @@
 	otherAddress  = "other:1"
 )
 
-// epoch is the load's start in these tests; the failure begins after 5 s and its
-// cause is gone after 10 s.
+// epoch is the start of the load in these tests. The failure begins after 5 s and
+// its cause is removed after 10 s.
 var epoch = time.Unix(1000, 0)
 
 func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// answered is a call whose caller got the whole answer.
+// answered returns a call whose caller received the complete answer.
 func answered(id string, sent, ended float64, asked ...string) report.Call {
 	if len(asked) == 0 {
 		asked = []string{otherAddress}
@@ -39,7 +39,7 @@
 	return report.Call{ID: id, Sent: at(sent), Ended: at(ended), Settled: true, Status: outcome.Complete(), Asked: asked, Idempotent: true}
 }
 
-// told is a call whose caller was told something else.
+// told returns a call whose caller received another outcome.
 func told(id string, sent, ended float64, status outcome.Status, asked ...string) report.Call {
 	c := answered(id, sent, ended, asked...)
 	c.Status = status
@@ -57,12 +57,12 @@
 	return report.Run{ID: id, Target: target, Began: at(began), Ended: at(ended), Complete: complete}
 }
 
-// judged holds calls and runs against one failure's judgement.
+// judged checks calls and runs with the check of one failure.
 func judged(judge func(*play), calls []report.Call, runs ...report.Run) *Result {
 	return judgedWhere(false, judge, calls, runs...)
 }
 
-// judgedWhere says whether targets die in the failure.
+// judgedWhere is judged for a failure in which targets crash if kills is set.
 func judgedWhere(kills bool, judge func(*play), calls []report.Call, runs ...report.Run) *Result {
 	victim := &instance{name: "victim", callers: victimAddress}
 	p := &play{
@@ -97,17 +97,17 @@
 			Expect(r.Pass).To(BeFalse())
 		},
 		Entry("a caller without an answer", report.Call{ID: "x"}, nil, "unanswered"),
-		Entry("an answer that is not whole", func() report.Call {
+		Entry("an incomplete answer", func() report.Call {
 			c := answered("x", 6, 7)
 			c.Fault = "checksum differs"
 			return c
 		}(), nil, "incomplete_answers"),
 		Entry("an id that ran twice", answered("x", 6, 7), []report.Run{run("x", "t", 6, 7, true), run("x", "u", 6, 7, true)}, "dispatched_twice"),
-		Entry("a target blamed that did not fail", told("x", 6, 7, outcome.Partial(outcome.ReasonTargetFailed, "")), nil, "none did"),
+		Entry("an outcome that reports the failure of a target that did not fail", told("x", 6, 7, outcome.Partial(outcome.ReasonTargetFailed, "")), nil, "none did"),
 		Entry("\"not run\" of what ran", told("x", 6, 7, outcome.Refused(outcome.ReasonNoTarget, 0, "")), []report.Run{run("x", "t", 6, 7, true)}, "false_not_run"),
 	)
 
-	It("finds a version that falls, but not one of another process", func() {
+	It("detects a version that decreases, but not a lower one of another process", func() {
 		v := &versions{highest: map[string]int64{}}
 		for _, s := range []api.Status{
 			{Entry: api.Member{Incarnation: "one"}, Version: 3}, {Entry: api.Member{Incarnation: "two"}, Version: 1},
@@ -121,8 +121,8 @@
 	})
 })
 
-// An entry dies at 5 s. A stream through it is read on elsewhere; a request that
-// waited in it may or may not have run, as far as anybody can know.
+// An entry is killed at 5 s. A stream through it continues at another entry. It is
+// unknown whether a request that waited in it has run.
 var _ = DescribeTable("an entry killed",
 	func(stream, waiting report.Call, problem string) {
 		r := judged(judgeKilled, []report.Call{answered("a", 1, 2), stream, waiting}, run("s", "t", 4, 9, true))
@@ -141,10 +141,10 @@
 	Entry("needs a request that waits", attached(answered("s", 4, 9, victimAddress)), answered("w", 4, 6), "no request waited in the killed entry"),
 )
 
-// An entry stands still from 5 s to 10 s with a request waiting in it. A caller
-// that went elsewhere at 8 s has been told that nobody knows: if the entry ran the
-// request on waking, a caller who sent a new one would have two. A caller that
-// still waits there may be served.
+// An entry is paused from 5 s to 10 s with a request waiting in it. A caller that
+// switched to another entry at 8 s has received "unknown" and may have sent a new
+// request: if the paused entry then ran the first one, there would be two runs. A
+// caller that still waits there may be served.
 var _ = DescribeTable("an entry paused",
 	func(waiting report.Call, deadline, began float64, problem string) {
 		waiting.Deadline = at(deadline)
@@ -166,8 +166,8 @@
 	Entry("had run it before", answered("w", 4, 8, victimAddress), 20.0, 4.5, "no request waited"),
 )
 
-// An entry is asked to stop at 5 s. Nobody who holds an answer that names it may
-// notice, and the process ends with 0.
+// An entry is stopped by SIGTERM at 5 s. Callers that have it in their list of
+// entries must not be affected, and the process exits with 0.
 var _ = DescribeTable("a planned stop",
 	func(code string, late report.Call, problem string) {
 		exit := filepath.Join(GinkgoT().TempDir(), "exit")
@@ -190,7 +190,7 @@
 	Entry("turns a request away", "0", told("l", 6, 7, outcome.Refused(outcome.ReasonDraining, 0, ""), victimAddress), "l was sent to the stopping entry"),
 )
 
-// A target dies at 5 s while it runs s. Its caller is told that it ran in part.
+// A target crashes at 5 s while it runs s, whose caller receives "ran in part".
 var _ = DescribeTable("a target that dies",
 	func(s report.Call, problem string) {
 		r := judgedWhere(true, judgeDied, []report.Call{answered("a", 1, 2), s, answered("b", 10.5, 11)},
@@ -205,8 +205,8 @@
 	Entry("told it was answered", answered("s", 4, 5.1), "s ran on the target that died"),
 )
 
-// The log is out from 5 s to 10 s. A keyed call sent meanwhile is told that it did
-// not run; a repeated one may be told that nobody knows. All others are served.
+// The log is unavailable from 5 s to 10 s. A keyed call sent meanwhile receives "not
+// run"; a repeated one may receive "unknown". All other calls are served.
 var _ = DescribeTable("an outage of the log",
 	func(keyed, other report.Call, problem string) {
 		keyed.Key, keyed.Idempotent, keyed.Line = "k", false, 1
@@ -229,7 +229,7 @@
 
 var outOfLog = outcome.Refused(outcome.ReasonLogUnavailable, time.Second, "")
 
-var _ = It("takes \"unknown\" for a repeated key in an outage", func() {
+var _ = It("accepts \"unknown\" for a repeated key in an outage", func() {
 	p := &play{trace: &trace.Trace{Lines: []trace.Line{{}, {Resend: &trace.Resend{Of: 0}}}}}
 	first, repeated := told("k", 7, 7.1, lost), told("k", 7, 7.1, lost)
 	repeated.Line = 1
@@ -237,8 +237,8 @@
 	Expect(p.refusedInOutage(&repeated)).To(BeTrue())
 })
 
-// A process took a dead entry's name with nothing kept. Callers that know only
-// its address must be answered, some of them by it.
+// A new process without state took the name of a killed entry. Callers that have
+// only its address must be answered, some of them by it.
 var _ = DescribeTable("an entry replaced",
 	func(c report.Call, problem string) {
 		c.Line = addedLine
@@ -255,7 +255,8 @@
 )
 
 var _ = Describe("when goodput is as before", func() {
-	// Twenty calls of the top tier in each half second; bad ones by half second.
+	// There are twenty calls of the top tier in each half second; bad gives the number
+	// of failed ones by half second.
 	calls := func(bad map[int]int) []*report.Call {
 		var all []*report.Call
 		for half := range 12 {
@@ -284,7 +285,7 @@
 	)
 })
 
-var _ = It("keeps the lines that repeat others right when lists are mixed", func() {
+var _ = It("adjusts the indices of repeated lines when lists are merged", func() {
 	line := func(ms int64, of int) trace.Line {
 		l := trace.Line{AtMS: ms}
 		if of >= 0 {
@@ -293,7 +294,7 @@
 		return l
 	}
 	usual := []trace.Line{line(10, -1), line(30, 0)}
-	all := mixed(usual, []trace.Line{line(5, -1), line(20, 0)})
+	all := merge(usual, []trace.Line{line(5, -1), line(20, 0)})
 	Expect([]int64{all[0].AtMS, all[1].AtMS, all[2].AtMS, all[3].AtMS}).To(Equal([]int64{5, 10, 20, 30}))
 	Expect(all[2].Resend.Of).To(Equal(0))
 	Expect(all[3].Resend.Of).To(Equal(1))
--- a/internal/replay/faults/judge.go
+++ b/internal/replay/faults/judge.go
@@ -8,12 +8,12 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// judge holds the finished play against what must hold in every failure, then
-// against what this one must leave whole.
+// judge checks the guarantees that hold in every failure, then those specific to
+// this one.
 func (p *play) judge() {
 	r := p.result
 	r.Report = report.Compute(p.in)
-	p.judgePromises()
+	p.checkGuarantees()
 	if p.failure.judge != nil {
 		p.failure.judge(p)
 	}
@@ -31,8 +31,8 @@
 	r.Pass = len(r.Problems) == 0
 }
 
-// judgePromises holds the counts of the report against what holds at all times.
-func (p *play) judgePromises() {
+// checkGuarantees checks the guarantees that hold in every failure.
+func (p *play) checkGuarantees() {
 	r := p.result.Report
 	for _, count := range []struct {
 		name  string
@@ -54,7 +54,7 @@
 	}
 }
 
-// duringFailure: the call was under way at some time of the failure.
+// duringFailure reports whether the call was in flight during the failure.
 func (p *play) duringFailure(c *report.Call) bool {
 	return c.Ended > p.at(p.begun) && c.Sent < p.at(p.over)
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// got names what a caller got: the outcome, and the reason where there is one.
+// got describes what a caller received: the outcome, and the reason if any.
 func got(c *report.Call) string {
 	switch {
 	case !c.Settled:
@@ -117,18 +117,20 @@
 }
 
 const (
-	// recoveryInterval is the interval of send times over which the top tier's
-	// goodput is taken, to find when it is as before again.
+	// recoveryInterval is the interval of send times over which the goodput of the
+	// top tier is computed to find its recovery.
 	recoveryInterval = 500 * time.Millisecond
-	// recoveryShare of the goodput before counts as recovered: of the twenty or
-	// so calls of an interval one may fail for another cause.
+	// recoveryShare is the share of the goodput before the failure that counts as
+	// recovered. An interval has about twenty calls, of which one may fail for
+	// another reason.
 	recoveryShare = 0.93
-	// recoveryCalls is the least number of calls that an interval is judged by.
+	// recoveryCalls is the minimum number of calls for which an interval counts.
 	recoveryCalls = 10
 )
 
-// recovery is the time from the failure's begin to the end of the last interval
-// in which the top tier's goodput was too low; false: it was so at the end.
+// recovery returns the time from the begin of the failure to the end of the last
+// interval in which the goodput of the top tier was too low, and false if it still
+// was at the end.
 func (p *play) recovery() (time.Duration, bool) {
 	var calls []*report.Call
 	for i := range p.in.Calls {
@@ -153,7 +155,7 @@
 			before.good += good
 			continue
 		}
-		// What was under way when the failure began counts with the first interval.
+		// Calls in flight when the failure began count in the first interval.
 		n := int(max(c.Sent-begun, 0) / recoveryInterval)
 		for len(after) <= n {
 			after = append(after, interval{})
--- a/internal/replay/faults/platform.go
+++ b/internal/replay/faults/platform.go
@@ -14,8 +14,8 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// outageLasts is how long the log is out.
-const outageLasts = 20 * time.Second
+// outageDuration is the duration of the outage of the log.
+const outageDuration = 20 * time.Second
 
 func logDown() Failure {
 	return Failure{
@@ -31,7 +31,7 @@
 			if err := p.publishInOutage(); err != nil {
 				return err
 			}
-			time.Sleep(time.Until(p.begun.Add(outageLasts)))
+			time.Sleep(time.Until(p.begun.Add(outageDuration)))
 			p.heal("log back")
 			if _, err := p.order(logStandin, `{"outage":false}`); err != nil {
 				return err
@@ -45,11 +45,12 @@
 
 func (p *play) logSeen(available bool) func() bool {
 	return func() bool {
-		return p.everyStatus(p.but(), func(s *api.Status) bool { return s.LogAvailable == available })
+		return p.everyStatus(p.entriesExcept(), func(s *api.Status) bool { return s.LogAvailable == available })
 	}
 }
 
-// publishInOutage: an operator is told the truth, and nothing comes in force.
+// publishInOutage checks that a document published in the outage is reported as
+// not published.
 func (p *play) publishInOutage() error {
 	doc, version, err := p.current()
 	if err != nil {
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// logMargin is kept from both ends of the outage: a claim may be under way when
-// it begins, and a call that waits when it ends may yet be claimed.
+// logMargin excludes calls near both ends of the outage: a claim may be in progress
+// when it begins, and a call that waits when it ends may still be claimed.
 const logMargin = 1500 * time.Millisecond
 
 func judgeLogDown(p *play) {
@@ -99,18 +100,20 @@
 	p.judgeClaimsBack()
 }
 
-// refusedInOutage: a first sending did not run, since nothing could be claimed.
-// Where a caller repeats a key, an earlier sending may have run as far as anybody
-// can look while the log is out, and "unknown" is the truth.
+// refusedInOutage reports whether the outcome of a keyed call is correct in an
+// outage. A first attempt has not run, since nothing could be claimed. If a caller
+// repeats a key, an earlier attempt may have run, which cannot be checked without
+// the log, so "unknown" is correct as well.
 func (p *play) refusedInOutage(c *report.Call) bool {
 	repeated := p.line(c).Resend != nil
 	return c.Status.Outcome == outcome.NotRun || repeated && c.Status.Outcome == outcome.Unknown
 }
 
-// othersShare of the calls that need no log must be answered in time.
+// othersShare is the minimum share of calls without a claim to be answered in time.
 const othersShare = 0.98
 
-// judgeClaimsBack finds when keyed calls are answered again.
+// judgeClaimsBack checks that keyed calls are answered again after the outage, and
+// records when.
 func (p *play) judgeClaimsBack() {
 	keyed := p.calls(func(c *report.Call) bool { return c.Sent > p.at(p.healed) && c.Key != "" && !c.Idempotent })
 	back := time.Duration(-1)
@@ -125,9 +128,7 @@
 	}
 }
 
-// Operators' documents.
-
-// current is the document in force at the first entry, and its version.
+// current returns the document in force and its version.
 func (s *Stage) current() (*document.Document, int64, error) {
 	answer, err := s.publisher.Document()
 	if err != nil {
@@ -140,7 +141,7 @@
 	return doc, answer.Version, nil
 }
 
-// publish publishes at one entry.
+// publish publishes a document at one entry.
 func (s *Stage) publish(e *instance, doc *document.Document) (api.Published, error) {
 	data, err := document.Encode(doc)
 	if err != nil {
@@ -150,9 +151,9 @@
 }
 
 const (
-	// races is how often two operators publish at the same moment.
+	// races is the number of times that two operators publish at the same time.
 	races = 6
-	// inForceLimit is the most that a document may take to be in force everywhere.
+	// inForceLimit is the maximum time until a document is in force at every entry.
 	inForceLimit = 5 * time.Second
 )
 
@@ -178,8 +179,8 @@
 	}
 }
 
-// race publishes two documents at two entries and returns how long it took until
-// one of them was in force at every entry.
+// race publishes two documents at two entries at the same time and returns the time
+// in ms until one of them was in force at every entry.
 func (p *play) race(n int) (float64, error) {
 	doc, version, err := p.current()
 	if err != nil {
@@ -209,7 +210,7 @@
 	p.require(loser.Winner == winner.ID && loser.WinnerVersion == winner.Version,
 		"race %d: %s beat %s as version %d, but the loser was told %q, version %d", n, winner.ID, loser.ID, winner.Version, loser.Winner, loser.WinnerVersion)
 	took := p.await(fmt.Sprintf("version %d is in force at every entry", winner.Version), from, inForceLimit, func() bool {
-		return p.everyStatus(p.but(), func(s *api.Status) bool {
+		return p.everyStatus(p.entriesExcept(), func(s *api.Status) bool {
 			return s.Version == winner.Version && s.DocumentID == winner.ID
 		})
 	})
--- a/internal/replay/faults/play.go
+++ b/internal/replay/faults/play.go
@@ -10,7 +10,7 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// play is one failure that is being brought about.
+// play is the state of one failure while it is injected and checked.
 type play struct {
 	*Stage
 	ctx     context.Context
@@ -18,17 +18,17 @@
 	trace   *trace.Trace
 	result  *Result
 
-	// start of the load; begun is when the failure began, healed when what
-	// caused it was taken away (zero: never), over when it had no more effect.
+	// start is when the load began, begun when the failure began, healed when its
+	// cause was removed (zero: never), and over when it had no more effect.
 	start, begun, healed, over time.Time
-	// victim is the entry that the failure hits, where it hits one.
+	// victim is the entry affected by the failure, if any.
 	victim *instance
-	// struck is the target that the failure hits, where it hits one.
+	// struck is the target affected by the failure, if any.
 	struck string
-	// extra are replays beside the load.
+	// extra are replays in addition to the load.
 	extra []report.Input
 
-	// What is known once the load has ended.
+	// The fields below are set after the load has ended.
 	in       report.Input
 	versions *versions
 	runs     map[string]*report.Run
@@ -41,8 +41,7 @@
 	}
 }
 
-// run sends the load, brings the failure about meanwhile and waits for the last
-// answer.
+// run sends the load, injects the failure meanwhile and waits for all answers.
 func (p *play) run() error {
 	p.start = time.Now()
 	stop := make(chan struct{})
@@ -67,10 +66,10 @@
 	return p.collect()
 }
 
-// collect reads the targets' ledgers and puts all calls together.
+// collect reads the ledgers of the targets and merges the calls of all replays.
 func (p *play) collect() error {
 	for _, other := range p.extra {
-		joined(&p.in, other)
+		addCalls(&p.in, other)
 	}
 	p.in.Runs, p.in.LostLedgers = live.ReadLedgers(p.document, live.DefaultAdminOffset, p.in.Start)
 	p.runs = make(map[string]*report.Run, len(p.in.Runs))
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// sleepUntil waits until so long after the load began.
+// sleepUntil waits until the given time after the start of the load.
 func (p *play) sleepUntil(at time.Duration) {
 	timer := time.NewTimer(time.Until(p.start.Add(at)))
 	defer timer.Stop()
@@ -96,20 +95,20 @@
 	}
 }
 
-// mark notes an instant of the play.
+// mark records the current time with a description.
 func (p *play) mark(what string, args ...any) time.Time {
 	now := time.Now()
 	p.result.Marks = append(p.result.Marks, Mark{AtMS: milliseconds(now.Sub(p.start)), What: fmt.Sprintf(what, args...)})
 	return now
 }
 
-// begin notes that the failure begins now, heal that its cause is taken away.
+// begin records the begin of the failure, heal the removal of its cause.
 func (p *play) begin(what string, args ...any) { p.begun = p.mark(what, args...) }
 
 func (p *play) heal(what string, args ...any) { p.healed = p.mark(what, args...) }
 
-// await looks until a condition holds and returns how long after since that
-// was. A condition that never holds is a problem of the product.
+// await polls until a condition holds and returns the time from since. If the
+// condition does not hold within the limit, it records a problem.
 func (p *play) await(what string, since time.Time, limit time.Duration, holds func() bool) *float64 {
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		if holds() {
@@ -118,33 +117,33 @@
 			took := milliseconds(now.Sub(since))
 			return &took
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 	p.problem("not within %v: %s", limit, what)
 	return nil
 }
 
-// problem notes something that does not hold.
+// problem records a violated guarantee.
 func (p *play) problem(format string, args ...any) {
 	p.result.Problems = append(p.result.Problems, fmt.Sprintf(format, args...))
 }
 
-// require notes a problem unless the condition holds.
+// require records a problem unless the condition holds.
 func (p *play) require(holds bool, format string, args ...any) {
 	if !holds {
 		p.problem(format, args...)
 	}
 }
 
-// fact adds a figure of this failure to the result.
+// fact adds a figure that is specific to this failure to the result.
 func (p *play) fact(name string, value float64, unit string) {
 	p.result.Facts = append(p.result.Facts, Fact{Name: name, Value: value, Unit: unit})
 }
 
-// at turns an instant into a time of the calls.
+// at converts a time to one from the start of the replay, as calls have it.
 func (p *play) at(t time.Time) time.Duration { return t.Sub(p.in.Start) }
 
-// calls selects calls.
+// calls returns the calls for which wanted returns true.
 func (p *play) calls(wanted func(*report.Call) bool) []*report.Call {
 	var found []*report.Call
 	for i := range p.in.Calls {
@@ -155,7 +154,8 @@
 	return found
 }
 
-// line is the trace's line of a call; an empty one for calls beside the load.
+// line returns the trace line of a call, or an empty one for calls that are not in
+// the trace.
 func (p *play) line(c *report.Call) *trace.Line {
 	if c.Line == addedLine {
 		return &trace.Line{}
@@ -163,11 +163,11 @@
 	return &p.trace.Lines[c.Line]
 }
 
-// openAt reports whether a call had been sent and not been settled at an instant.
+// openAt reports whether a call was in flight at the given time.
 func (p *play) openAt(c *report.Call, t time.Time) bool {
 	at := p.at(t)
 	return c.Sent < at && c.Ended > at
 }
 
-// askedFirst reports whether a call went to an entry first.
+// askedFirst reports whether the given entry was the first one that a call used.
 func askedFirst(c *report.Call, e *instance) bool { return len(c.Asked) > 0 && c.Asked[0] == e.callers }
--- a/internal/replay/faults/requests.go
+++ b/internal/replay/faults/requests.go
@@ -4,7 +4,7 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// Who sends the requests that a failure adds to the usual traffic of Tanglaw.
+// Senders and targets of the requests that a failure adds to Tanglaw's traffic.
 const (
 	attendants    = "station-south"
 	attendantTier = "attendant"
@@ -16,13 +16,14 @@
 	service       = "reservations"
 )
 
-// longTokens marks the long streams; at some 20 ms a token they run for 6 s.
+// longTokens is the length of long streams, which run for 6 s at about 20 ms a
+// token.
 const longTokens = 300
 
 const longDeadlineMS = 60_000
 
-// longStreams begin evenly over a second, so that answers are under way when the
-// failure comes.
+// longStreams returns requests for long streams that begin evenly over a second, so
+// that answers are being streamed when the failure begins.
 func longStreams(fromMS int64, count int) []trace.Line {
 	lines := make([]trace.Line, count)
 	for i := range lines {
@@ -35,8 +36,8 @@
 	return lines
 }
 
-// backlog is a burst of the lowest tier beyond what the engines can take at
-// once, so that requests wait in the entries.
+// backlog returns a burst of the lowest tier that exceeds the free slots of the
+// engines, so that requests wait in the entries.
 func backlog(atMS int64, count int) []trace.Line {
 	lines := make([]trace.Line, count)
 	for i := range lines {
--- a/internal/replay/faults/result.go
+++ b/internal/replay/faults/result.go
@@ -11,41 +11,41 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// Result is what became of a failure. Times are milliseconds.
+// Result is the result of a failure. Times are in milliseconds.
 type Result struct {
 	Name  string `json:"name"`
 	About string `json:"about"`
 	Pass  bool   `json:"pass"`
-	// Problems say what does not hold.
+	// Problems are the violated guarantees.
 	Problems []string `json:"problems,omitempty"`
 	Load     float64  `json:"load"`
 	Seconds  float64  `json:"seconds"`
-	// Marks are the instants of the play, from the load's start.
+	// Marks are the events of the run, with times from the start of the load.
 	Marks []Mark `json:"marks"`
-	// DetectedMS: from the failure's begin until the entries acted on it.
-	// RecoveredMS: from its begin until the end of the last interval in which the
-	// top tier's goodput was below that of before; 0: it never was.
-	// RestoredMS: from the end of its cause until all was as before.
+	// DetectedMS is the time from the begin of the failure until the entries reacted.
+	// RecoveredMS is the time from its begin until the end of the last interval in
+	// which the top tier's goodput was lower than before, or 0 if it never was.
+	// RestoredMS is the time from the removal of its cause until normal operation.
 	DetectedMS  *float64 `json:"detected_ms"`
 	RecoveredMS *float64 `json:"recovered_ms"`
 	RestoredMS  *float64 `json:"restored_ms"`
-	// Goodput by tier of the calls that ended before the failure began, that were
-	// under way during it, and that were sent after it was over.
+	// Before, During and After are the goodput of the calls that ended before the
+	// failure began, were in flight during it, or were sent after it was over.
 	Before Goodput `json:"goodput_before"`
 	During Goodput `json:"goodput_during"`
 	After  Goodput `json:"goodput_after"`
-	// Callers counts what the calls under way during the failure got.
+	// Callers counts the results of the calls in flight during the failure.
 	Callers map[string]int `json:"callers_during"`
-	// AttachedAgain counts the calls that got the rest of a stream by its token
-	// at another entry.
+	// AttachedAgain counts the calls that attached to a stream by its token at
+	// another entry.
 	AttachedAgain int            `json:"attached_again"`
 	Facts         []Fact         `json:"facts,omitempty"`
 	Report        *report.Report `json:"report"`
-	// NotGood lists each call that was not answered whole and in time.
+	// NotGood lists the calls that were not answered completely and in time.
 	NotGood []Call `json:"not_good,omitempty"`
 }
 
-// Call is what one caller saw.
+// Call is one call and what its caller received.
 type Call struct {
 	ID      string  `json:"id"`
 	Tier    string  `json:"tier"`
@@ -54,31 +54,32 @@
 	EndedMS float64 `json:"ended_ms"`
 	Got     string  `json:"got"`
 	Detail  string  `json:"detail,omitempty"`
-	// Asked are the entries' callers' addresses, Target where it ran.
+	// Asked are the callers' addresses of the entries that were tried, Target is the
+	// target that ran the call.
 	Asked  []string `json:"asked"`
 	Target string   `json:"target,omitempty"`
 }
 
-// Goodput is answered whole and in time / sent, by tier.
+// Goodput is, by tier, the share of calls answered completely and in time.
 type Goodput map[string]float64
 
-// Mark is an instant of a play.
+// Mark is an event at a time from the start of the load.
 type Mark struct {
 	AtMS float64 `json:"at_ms"`
 	What string  `json:"what"`
 }
 
-// Fact is a figure that only one failure has.
+// Fact is a figure that is specific to one failure.
 type Fact struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// problemsShown are told on the output; the file has all.
+// problemsShown limits the problems in Line; the file has all of them.
 const problemsShown = 5
 
-// Line tells the result in one line.
+// Line returns the result in one line, followed by the first problems.
 func (r *Result) Line(tiers []string) string {
 	var b strings.Builder
 	verdict := "pass"
--- a/internal/replay/faults/stage.go
+++ b/internal/replay/faults/stage.go
@@ -20,23 +20,23 @@
 	standins "sycamoretrail/internal/standin/settings"
 )
 
-// Names of the stand-ins of the platform.
+// Names of the platform's stand-ins.
 const (
 	logStandin  = "log"
 	listStandin = "instances"
 )
 
 const (
-	// askTimeout bounds a question to an entry, which may stand still.
-	askTimeout = 500 * time.Millisecond
-	// orderTimeout bounds an order to a stand-in.
+	// statusTimeout limits a status request to an entry, which may be paused.
+	statusTimeout = 500 * time.Millisecond
+	// orderTimeout limits an order to a stand-in.
 	orderTimeout = 2 * time.Second
 )
 
 // instance is one entry of the deployment.
 type instance struct {
 	name string
-	// callers and operators are addresses, pidFile and exitFile are kept by the
+	// callers and operators are addresses. pidFile and exitFile are written by the
 	// script: the process id, and the exit code once the process has ended.
 	callers, operators, pidFile, exitFile string
 }
@@ -46,10 +46,10 @@
 	document *document.Document
 	tokens   map[string]string
 	entries  []instance
-	// admins are the admin addresses of the stand-ins by name, addresses their
-	// usual ones.
+	// admins are the admin addresses of the stand-ins by name, addresses those of
+	// their service.
 	admins, addresses map[string]string
-	// watcher asks entries quickly; publisher waits as long as operators do.
+	// watcher has a short timeout, publisher that of operators' tools.
 	watcher, publisher *operatorclient.Client
 	http               *fasthttp.Client
 }
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrStage, err)
 	}
-	s.watcher = operatorclient.New(operatorclient.Options{Entries: ctl.Entries, Token: ctl.Token, Timeout: askTimeout})
+	s.watcher = operatorclient.New(operatorclient.Options{Entries: ctl.Entries, Token: ctl.Token, Timeout: statusTimeout})
 	s.publisher = operatorclient.New(operatorclient.Options{Entries: ctl.Entries, Token: ctl.Token})
 	if err := s.readEntries(dir, len(ctl.Entries)); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// signal sends a signal to an entry's process, by the id that the script noted.
+// signal sends a signal to an entry's process, by the id that the script wrote.
 func (s *Stage) signal(e *instance, signal syscall.Signal) error {
 	pid, err := readNumber(e.pidFile)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// exitCode is that of an entry's process, once it has ended.
+// exitCode returns the exit code of an entry's process, and false before it ends.
 func (s *Stage) exitCode(e *instance) (int, bool) {
 	code, err := readNumber(e.exitFile)
 	return code, err == nil
@@ -133,14 +133,14 @@
 	return number, nil
 }
 
-// order gives a stand-in a fault order and returns the faults in force there.
+// order sends a fault order to a stand-in and returns the faults in force there.
 func (s *Stage) order(standin, order string) (base.Faults, error) {
 	var faults base.Faults
 	err := s.call(fasthttp.MethodPost, s.admins[standin], "/admin/fault", []byte(order), &faults)
 	return faults, err
 }
 
-// ledger reads what ran at a target.
+// ledger reads the ledger of a target.
 func (s *Stage) ledger(standin string) (base.LedgerReport, error) {
 	var ledger base.LedgerReport
 	err := s.call(fasthttp.MethodGet, s.admins[standin], "/admin/ledger", nil, &ledger)
@@ -165,7 +165,7 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// call does one call of a stand-in; a nil answer is not read.
+// call calls a stand-in and decodes its answer unless answer is nil.
 func (s *Stage) call(method, address, path string, body []byte, answer any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// engines names the document's targets of the first model's pool.
+// engines returns the names of the targets in the pool of the first model.
 func (s *Stage) engines() []string {
 	var names []string
 	for i := range s.document.Targets {
@@ -199,7 +199,7 @@
 	return names
 }
 
-// zones are those of the document's targets.
+// zones returns the zones of the document's targets.
 func (s *Stage) zones() []string {
 	var zones []string
 	for i := range s.document.Targets {
--- a/internal/replay/faults/targets.go
+++ b/internal/replay/faults/targets.go
@@ -34,18 +34,20 @@
 	}
 }
 
-// targetIs reports whether every entry's view has a target available or not.
+// targetIs returns a condition: the target has the given availability in every
+// entry's view.
 func (p *play) targetIs(name string, available bool) func() bool {
 	return func() bool {
-		return p.everyView(p.but(), func(view *api.Targets) bool {
+		return p.everyView(p.entriesExcept(), func(view *api.Targets) bool {
 			t := seen(view, name)
 			return t != nil && t.Available == available
 		})
 	}
 }
 
-// judgeDied: each caller whose stream died is told so, and none of the requests
-// ran elsewhere, which the count of ids dispatched twice shows.
+// judgeDied checks that each caller whose stream was lost receives "ran in part" or
+// "unknown". That none of the requests ran elsewhere is checked by the count of ids
+// dispatched twice.
 func judgeDied(p *play) {
 	broken, first := 0, time.Duration(0)
 	for i := range p.in.Runs {
@@ -73,9 +75,9 @@
 }
 
 const (
-	// listLag is how old the platform's list is.
+	// listLag is the order that delays the platform's instance list by 30 s.
 	listLag = `{"lag_ms":30000}`
-	// leavingLimit is the most that a leaving target may get new work for.
+	// leavingLimit is how long a leaving target may still receive new requests.
 	leavingLimit = 3 * time.Second
 )
 
@@ -101,7 +103,8 @@
 	}
 }
 
-// leave makes a target say that it leaves, and the platform list it as leaving.
+// leave makes a target announce its departure, and marks it as leaving in the
+// platform's instance list.
 func (p *play) leave(name string) error {
 	if _, err := p.order(name, `{"leaving":true}`); err != nil {
 		return err
@@ -109,8 +112,8 @@
 	return p.list(standinRow{Name: name, Address: p.addresses[name], Role: "target", Leaving: true})
 }
 
-// declareLeaving publishes a document in which a target is leaving; the target
-// itself goes on taking what it is given.
+// declareLeaving publishes a document in which a target is leaving. The target
+// itself continues to accept requests.
 func (p *play) declareLeaving(name string) error {
 	doc, version, err := p.current()
 	if err != nil {
@@ -130,7 +133,8 @@
 	return nil
 }
 
-// judgeLeaving: both targets get nothing new, and what they ran was not cut.
+// judgeLeaving checks that both targets receive no new requests, and that the runs
+// of the one that leaves were not aborted.
 func judgeLeaving(p *play) {
 	says, declared := p.engines()[0], p.engines()[1]
 	ledger, err := p.ledger(says)
--- a/internal/replay/faults/watch.go
+++ b/internal/replay/faults/watch.go
@@ -9,12 +9,12 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// lookEvery is the pause between two looks at the entries; times that are found
-// by looking are that coarse.
-const lookEvery = 50 * time.Millisecond
+// pollInterval is the interval between polls of the entries, and so the resolution of
+// the times that are found by polling.
+const pollInterval = 50 * time.Millisecond
 
-// but lists the entries except some.
-func (s *Stage) but(left ...*instance) []*instance {
+// entriesExcept returns all entries except the given ones.
+func (s *Stage) entriesExcept(left ...*instance) []*instance {
 	var rest []*instance
 	for i := range s.entries {
 		skip := false
@@ -28,9 +28,9 @@
 	return rest
 }
 
-// ask puts a question to entries at the same time; an entry that gives no
-// answer has a nil place.
-func ask[T any](entries []*instance, question func(*instance) (T, error)) []*T {
+// queryAll sends a request to all entries concurrently. The element of an entry that
+// does not answer is nil.
+func queryAll[T any](entries []*instance, question func(*instance) (T, error)) []*T {
 	answers := make([]*T, len(entries))
 	pool := pond.NewPool(len(entries))
 	defer pool.StopAndWait()
@@ -50,13 +50,13 @@
 
 // everyStatus reports whether all entries answer and satisfy a condition.
 func (s *Stage) everyStatus(entries []*instance, holds func(*api.Status) bool) bool {
-	return every(ask(entries, s.status), holds)
+	return every(queryAll(entries, s.status), holds)
 }
 
 // everyView reports whether all entries answer and their view of the targets
 // satisfies a condition.
 func (s *Stage) everyView(entries []*instance, holds func(*api.Targets) bool) bool {
-	return every(ask(entries, s.targets), holds)
+	return every(queryAll(entries, s.targets), holds)
 }
 
 func every[T any](answers []*T, holds func(*T) bool) bool {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// schedules counts the targets that an entry schedules, in another's view.
+// schedules counts the targets that the named entry schedules according to a view.
 func schedules(view *api.Targets, name string) int {
 	count := 0
 	for i := range view.Targets {
@@ -79,7 +79,7 @@
 	return count
 }
 
-// seen finds a target in a view.
+// seen returns a target in a view, or nil.
 func seen(view *api.Targets, name string) *api.Target {
 	for i := range view.Targets {
 		if view.Targets[i].Name == name {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// busiest is the entry with most requests in flight, of those that schedule
-// targets: its loss takes most with it.
+// busiest returns the entry with the most requests in flight among those that
+// schedule targets, since its loss affects the most requests.
 func (s *Stage) busiest() (*instance, error) {
 	view, err := s.targets(&s.entries[0])
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	var best *instance
 	most := -1
-	for i, status := range ask(s.but(), s.status) {
+	for i, status := range queryAll(s.entriesExcept(), s.status) {
 		e := &s.entries[i]
 		if status != nil && status.InFlight > most && schedules(&view, e.name) > 0 {
 			best, most = e, status.InFlight
@@ -110,9 +110,9 @@
 	return best, nil
 }
 
-// versions notes the document's version at each entry, to find one that falls.
+// versions tracks the document version at each entry to detect a decrease.
 type versions struct {
-	// highest by the entry's incarnation; reverted says what fell.
+	// highest is by the incarnation of the entry; reverted describes the decreases.
 	highest  map[string]int64
 	reverted []string
 }
@@ -125,10 +125,10 @@
 	v.highest[who] = max(v.highest[who], status.Version)
 }
 
-// watchVersions looks at all entries until stop is closed.
+// watchVersions polls all entries until stop is closed.
 func (s *Stage) watchVersions(stop <-chan struct{}) *versions {
 	v := &versions{highest: map[string]int64{}}
-	ticker := time.NewTicker(2 * lookEvery)
+	ticker := time.NewTicker(2 * pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -136,7 +136,7 @@
 			return v
 		case <-ticker.C:
 		}
-		for _, status := range ask(s.but(), s.status) {
+		for _, status := range queryAll(s.entriesExcept(), s.status) {
 			if status != nil {
 				v.note(status)
 			}
