--- a/internal/replay/sweep/bound.go
+++ b/internal/replay/sweep/bound.go
@@ -14,21 +14,22 @@
 
 // Bounds are the best goodputs that a trace allows, by tier and for AllTiers.
 type Bounds struct {
-	// Priority is the best of each tier beside the tiers above at their best:
-	// what strict order of tiers aims at.
+	// Priority is the best goodput of each tier while the tiers above it are at
+	// their best, which is the aim of strict priority.
 	Priority map[string]float64 `json:"priority"`
-	// Ceiling is what no policy passes, whatever it gives up in other tiers.
+	// Ceiling is the goodput that no policy exceeds, even if it sacrifices other
+	// tiers.
 	Ceiling map[string]float64 `json:"ceiling"`
-	// Demand is the tiers' least work for each second of sending, in parts of what
-	// their busiest pool does in a second.
+	// Demand is the minimum work of the tiers per second of sending, as a share of
+	// what their busiest pool does in a second.
 	Demand map[string]float64 `json:"demand"`
 }
 
-// Bound works out the bounds on paper, for an oracle that knows every request,
-// size and failure beforehand and wastes nothing; docs/design/13-replay.md has
-// the argument. A pool is one machine that may divide its time at will; each
-// request brings its least work, which must fit between its arrival and its
-// deadline, and its first token before its own bound.
+// Bound computes the bounds analytically, for an oracle that has all requests,
+// sizes and failures in advance and wastes nothing; docs/design/13-replay.md has
+// the argument. A pool is modelled as one machine that may divide its time
+// arbitrarily. The minimum work of each request must fit between its arrival and
+// its deadline, and its first token must be in time.
 func Bound(doc *document.Document, t *trace.Trace, faults []virtual.Fault) Bounds {
 	sent := make([]float64, len(doc.Tiers))
 	priority := make([]float64, len(doc.Tiers))
@@ -74,7 +75,7 @@
 	return total
 }
 
-// addDemand raises the demand of each tier, and of all, to this pool's.
+// addDemand raises the demand of each tier, and of AllTiers, to that of this pool.
 func (p *poolBound) addDemand(demand map[string]float64, doc *document.Document, seconds float64) {
 	if seconds <= 0 {
 		return
@@ -91,19 +92,19 @@
 	}
 }
 
-// poolBound is one pool's part of a trace.
+// poolBound is the part of a trace that one pool serves.
 type poolBound struct {
-	stations []station
+	stations []targetClass
 	tiers    int
 	sent     []int
 	jobs     []poolJob
-	// families is the number of different windows that jobs have.
+	// families is the number of distinct windows of jobs.
 	families int
 	end      time.Duration
 	speed    func(time.Duration) float64
 }
 
-// poolJob is a request, with its bounds from its arrival.
+// poolJob is a request. Its bounds count from its arrival.
 type poolJob struct {
 	tier, family      int
 	work              float64
@@ -137,8 +138,8 @@
 	return p
 }
 
-// seconds are the request's least times by class; none for a request that is
-// sent again, since the run of the first answers both.
+// seconds returns the minimum times of the request by class, or none for a repeated
+// request, since the run of the first one answers both.
 func (p *poolBound) seconds(line *trace.Line, j *poolJob) []float64 {
 	if line.Resend != nil {
 		return nil
@@ -150,7 +151,8 @@
 	return row
 }
 
-// bounds are the request's own, or its tier's; 0: none for the first token.
+// bounds returns the bounds of the request, or of its tier where it has none. first
+// is 0 if there is no bound for the first token.
 func bounds(doc *document.Document, line *trace.Line, rank int) (first, whole time.Duration) {
 	whole = line.Deadline()
 	if whole == 0 {
@@ -163,15 +165,15 @@
 	return min(first, whole), whole
 }
 
-// window is what jobs of a family have in common.
+// window is the pair of bounds that the jobs of a family share.
 type window struct{ firstToken, whole time.Duration }
 
-// mostFamilies bounds the sets of families; a trace with more different windows
-// has them widened, which keeps the bound one.
-const mostFamilies = 5
+// maxFamilies limits the number of families, as all their subsets are stored. If a
+// trace has more distinct windows they are widened, which keeps the bound valid.
+const maxFamilies = 5
 
-// findFamilies puts jobs with equal bounds into one family, and widens windows
-// while there are too many.
+// findFamilies groups jobs with equal bounds into families, and widens windows if
+// there are too many.
 func (p *poolBound) findFamilies() {
 	kinds := map[window]int{}
 	for i := range p.jobs {
@@ -180,7 +182,7 @@
 	ordered := slices.SortedFunc(maps.Keys(kinds), func(a, b window) int {
 		return cmp.Or(cmp.Compare(a.whole, b.whole), cmp.Compare(a.firstToken, b.firstToken))
 	})
-	p.families = min(len(ordered), mostFamilies)
+	p.families = min(len(ordered), maxFamilies)
 	for i, kind := range ordered {
 		kinds[kind] = i * p.families / len(ordered)
 	}
@@ -188,7 +190,7 @@
 	for _, kind := range ordered {
 		w := &widest[kinds[kind]]
 		w.whole = max(w.whole, kind.whole)
-		// No bound for one of them: none for the family.
+		// If one window has no bound for the first token, the family has none.
 		if kind.firstToken == 0 || w.firstToken < 0 {
 			w.firstToken = -1
 		} else {
@@ -202,8 +204,8 @@
 	}
 }
 
-// drain is the greatest work that requests of the kind leave after their first
-// tokens: a full batch at each engine.
+// drain returns the maximum work that requests of the tiers can have left after
+// their first tokens: a full batch at each engine.
 func (p *poolBound) drain(which func(tier int) bool) float64 {
 	longest := 0
 	for i := range p.jobs {
@@ -219,9 +221,9 @@
 	return total
 }
 
-// most is how many requests of the tiers can be in time at most, if no other is
-// served: by their deadlines alone, and by their first tokens with what a full
-// batch may leave after them.
+// most returns the maximum number of requests of the tiers that can be in time if no
+// others are served. It is the lower of two bounds: one by the deadlines alone, and
+// one by the first tokens, after which a full batch may be left.
 func (p *poolBound) most(which func(tier int) bool) float64 {
 	drain := p.drain(which)
 	byDeadline, byFirst := newFluid(p.end, p.speed, p.families), newFluid(p.end, p.speed, p.families)
@@ -246,8 +248,8 @@
 	return j.whole
 }
 
-// inPriority is how many requests of each tier can be in time beside the tiers
-// above.
+// inPriority returns the number of requests of each tier that can be in time while
+// the tiers above are at their best.
 func (p *poolBound) inPriority() []float64 {
 	f := newFluid(p.end, p.speed, p.families)
 	drain := make([]float64, p.tiers)
--- a/internal/replay/sweep/bound_test.go
+++ b/internal/replay/sweep/bound_test.go
@@ -17,16 +17,16 @@
 	"sycamoretrail/internal/replay/virtual"
 )
 
-// twoEngines is a document with two engines of one class and no more.
+// twoEngines returns a document whose only targets are two engines of one class.
 func twoEngines() *document.Document {
 	doc := testDocument()
 	doc.Targets = []document.Target{{Name: "a", Pool: "engines", Class: "new"}, {Name: "b", Pool: "engines", Class: "new"}}
 	return doc
 }
 
-// costs of the request below at one engine: 80/8000 s of prefill, 16 parts of a
-// step's fixed 8 ms that 16 share, and 15 times its own 0.5 ms; two engines
-// take half of that.
+// lineWork is the cost of the request below in ms. At one engine it is 80/8000 s of
+// prefill, 16 times a 16th of the fixed 8 ms of a step, and 15 times 0.5 ms of its
+// own. With two engines it is half of that.
 const lineWork = (10 + 8 + 7.5) / 2
 
 func engineLine(tier string, at, firstToken, deadline int64) trace.Line {
@@ -56,7 +56,7 @@
 }
 
 var _ = Describe("the bound", func() {
-	It("is what fits before the deadlines, each tier beside those above, and the ceiling each alone", func() {
+	It("is what fits before the deadlines, by priority of tiers, and for the ceiling without other tiers", func() {
 		lines := append(repeated(100, engineLine("rider", 0, 0, 500), 0), repeated(100, engineLine("attendant", 0, 0, 1000), 0)...)
 		b := Bound(twoEngines(), &trace.Trace{Header: trace.Header{DurationMS: 2000}, Lines: lines}, nil)
 		half, whole := 5/lineWork, 10/lineWork
@@ -69,21 +69,21 @@
 		Expect(b.Demand["rider"]).To(BeNumerically("~", 100*lineWork/1000/2, 1e-9))
 	})
 
-	It("sees bursts: the same requests fit when they come evenly, not at once", func() {
+	It("is lower for bursts: the same requests fit if they arrive evenly, but not at once", func() {
 		Expect(ceiling(twoEngines(), repeated(200, engineLine("rider", 0, 0, 500), 25))).To(Equal(1.0))
 		Expect(ceiling(twoEngines(), repeated(200, engineLine("rider", 0, 0, 500), 0))).To(BeNumerically("~", 2.5/lineWork, 1e-9))
 	})
 
-	// All come at once, with first tokens due long before the answers. What has its
-	// first token by then may leave a full batch of 15 steps of 16 ms to each engine.
-	It("sees the first token's bound", func() {
+	// All requests arrive at once, with first tokens due long before the answers. After
+	// the first tokens, each engine may have a full batch of 15 steps of 16 ms left.
+	It("respects the bound of the first token", func() {
 		Expect(ceiling(twoEngines(), repeated(500, engineLine("rider", 0, 0, 4000), 0))).
 			To(BeNumerically(">", ceiling(twoEngines(), repeated(500, engineLine("rider", 0, 260, 4000), 0))))
 		Expect(ceiling(twoEngines(), repeated(500, engineLine("rider", 0, 260, 4000), 0))).
 			To(BeNumerically("~", 0.2*(300+250)/100/lineWork, 1e-9))
 	})
 
-	It("sees what a fault takes away", func() {
+	It("is lower under faults that reduce capacity", func() {
 		lines := repeated(300, engineLine("rider", 0, 0, 500), 10)
 		engine := 0
 		for _, f := range []virtual.Fault{
@@ -94,9 +94,9 @@
 		}
 	})
 
-	// One class is good at prompts, the other at answers. An oracle gives each what
-	// it is good at, so a bound by the pool's mean speed would be too low.
-	It("allows that each class gets what it is best at", func() {
+	// One class is fast for prompts, the other for answers. An oracle sends each
+	// request to the faster class, so a bound by the mean speed would be too low.
+	It("allows each class the requests for which it is fastest", func() {
 		doc := twoEngines()
 		doc.Targets[1].Class = "other"
 		doc.Classes = append(doc.Classes[1:], document.Class{Name: "new", Kind: document.KindEngine, MaxInFlight: 16, PrefillRate: 8000, StepMS: 40},
@@ -108,13 +108,13 @@
 		Expect(ceiling(doc, append(repeated(38, prompt, 0), repeated(190, answer, 0)...))).To(BeNumerically("<", 1))
 	})
 
-	It("counts a request that no target can serve in time as lost", func() {
+	It("counts a request that no target can serve in time as not served", func() {
 		infeasible := engineLine("rider", 0, 100, 4000)
 		infeasible.PromptTokens = 8000
 		Expect(ceiling(twoEngines(), repeated(3, infeasible, 0))).To(BeZero())
 	})
 
-	DescribeTable("is not passed by any policy",
+	DescribeTable("is not exceeded by any policy",
 		func(deployment trace.Deployment, scenario trace.Scenario, faults string, load float64) {
 			doc := exampleDocument(deployment)
 			var schedule []virtual.Fault
@@ -139,12 +139,12 @@
 		Entry("Tanglaw at 2", trace.Tanglaw, trace.Usual, "", 2.0),
 		Entry("Tanglaw at 6", trace.Tanglaw, trace.Usual, "", 6.0),
 		Entry("Tanglaw's shift change", trace.Tanglaw, trace.ShiftBurst, "", 2.0),
-		Entry("Tanglaw with half a zone gone", trace.Tanglaw, trace.Usual, "half-zone", 4.0),
+		Entry("Tanglaw with half a zone lost", trace.Tanglaw, trace.Usual, "half-zone", 4.0),
 		Entry("Quebracho at 8", trace.Quebracho, trace.Usual, "", 8.0),
 		Entry("Quebracho with a straggler", trace.Quebracho, trace.Usual, "straggle", 8.0),
 	)
 
-	// A clairvoyant dispatcher on the engines' own model, without delays.
+	// The oracle is a clairvoyant dispatcher on the same engine model, without delays.
 	DescribeTable("is nearly reached by an oracle",
 		func(load, top, total float64) {
 			doc := exampleDocument(trace.Tanglaw)
@@ -166,7 +166,7 @@
 })
 
 var _ = Describe("the fluid machine", func() {
-	It("accepts as much as an earliest-deadline schedule can do, and no more", func() {
+	It("accepts exactly as much as an earliest-deadline-first schedule can do", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			fault := time.Duration(rapid.IntRange(0, 20).Draw(t, "fault")) * 100 * time.Millisecond
 			f := newFluid(2*time.Second, func(at time.Duration) float64 {
@@ -185,7 +185,7 @@
 				whole := j.work
 				j.work *= part
 				accepted = append(accepted, j)
-				if !scheduled(accepted, f) {
+				if !schedulable(accepted, f) {
 					t.Fatalf("accepted too much: %v", accepted)
 				}
 				if part == 1 {
@@ -193,7 +193,7 @@
 				}
 				more := slices.Clone(accepted)
 				more[len(more)-1].work += min(0.01, whole-j.work)
-				if scheduled(more, f) && whole-j.work > 0.001 {
+				if schedulable(more, f) && whole-j.work > 0.001 {
 					t.Fatalf("accepted too little: %v of %v", part, j)
 				}
 			}
@@ -201,8 +201,9 @@
 	})
 })
 
-// scheduled decides by brute force: earliest deadline first, slot by slot.
-func scheduled(jobs []job, f *fluid) bool {
+// schedulable reports whether the jobs can be schedulable, by simulating earliest
+// deadline first slot by slot.
+func schedulable(jobs []job, f *fluid) bool {
 	left := make([]float64, len(jobs))
 	for i := range jobs {
 		left[i] = jobs[i].work
--- a/internal/replay/sweep/cost.go
+++ b/internal/replay/sweep/cost.go
@@ -12,31 +12,31 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// station is one class of a pool's targets.
-type station struct {
+// targetClass is the set of a pool's targets of one class.
+type targetClass struct {
 	class *document.Class
-	// engine's parameters; for a plain service nothing.
+	// engine holds the parameters of engines; it is nil for a plain service.
 	engine *enginemodel.Params
 	count  int
-	// price of a second of one target, in parts of a second of the whole pool.
+	// price of a second of one target, as a share of a second of the entire pool.
 	price float64
 }
 
-// stations gathers a pool's targets by class.
-func stations(doc *document.Document, pool string) []station {
-	var all []station
+// stations groups the targets of a pool by class.
+func stations(doc *document.Document, pool string) []targetClass {
+	var all []targetClass
 	for i := range doc.Targets {
 		target := &doc.Targets[i]
 		class := trace.ClassOf(doc, target.Class)
 		if target.Pool != pool || target.Leaving || class == nil {
 			continue
 		}
-		place := slices.IndexFunc(all, func(s station) bool { return s.class == class })
-		if place >= 0 {
-			all[place].count++
+		index := slices.IndexFunc(all, func(s targetClass) bool { return s.class == class })
+		if index >= 0 {
+			all[index].count++
 			continue
 		}
-		s := station{class: class, count: 1}
+		s := targetClass{class: class, count: 1}
 		if class.Kind == document.KindEngine {
 			params := virtual.EngineParams(class)
 			s.engine = &params
@@ -46,9 +46,9 @@
 	return all
 }
 
-// seconds is the least time that a request takes of one target of the class;
-// infinite if it can't be in time there even alone.
-func (s *station) seconds(line *trace.Line, firstToken, deadline time.Duration) float64 {
+// seconds returns the minimum time of one target of the class that a request uses,
+// or infinity if it cannot be in time there even without other requests.
+func (s *targetClass) seconds(line *trace.Line, firstToken, deadline time.Duration) float64 {
 	if s.engine == nil {
 		return trace.ServiceMS(s.class) / 1000 / float64(max(s.class.MaxInFlight, 1))
 	}
@@ -56,18 +56,19 @@
 	missing := float64(max(line.PromptTokens-sharedTokens(line), 1))
 	chunks := math.Ceil(missing / float64(e.PrefillChunk))
 	later := float64(line.MaxTokens - 1)
-	// Alone on the engine: every step is the request's.
+	// Without other requests on the engine, the request bears each step in full.
 	first := missing/e.PrefillRate + chunks*e.StepBase.Seconds()
 	whole := first + later*(e.StepBase+e.StepPerSequence).Seconds()
 	if firstToken > 0 && first > firstToken.Seconds() || deadline > 0 && whole > deadline.Seconds() {
 		return math.Inf(1)
 	}
-	// In a full batch: a step's fixed part is shared by all that run in it.
+	// In a full batch, the fixed part of a step is shared by all its requests.
 	share := e.StepBase.Seconds() / float64(e.MaxBatch)
 	return missing/e.PrefillRate + (chunks+later)*share + later*e.StepPerSequence.Seconds()
 }
 
-// sharedTokens are the prompt tokens that a prefix cache can hold: whole blocks.
+// sharedTokens returns the prompt tokens that a prefix cache can have: the complete
+// blocks of the shared prefix.
 func sharedTokens(line *trace.Line) int {
 	if line.SharedPrefix == nil {
 		return 0
@@ -75,9 +76,9 @@
 	return min(line.SharedPrefix.Tokens, line.PromptTokens) / request.PrefixBlockTokens * request.PrefixBlockTokens
 }
 
-// drainSeconds is the greatest time that one engine of the class needs to finish
-// a full batch whose first tokens are out, for answers of so many tokens.
-func (s *station) drainSeconds(tokens int) float64 {
+// drainSeconds returns the maximum time in which one engine of the class completes a
+// full batch after its first tokens, for answers of the given length.
+func (s *targetClass) drainSeconds(tokens int) float64 {
 	if s.engine == nil || tokens < 2 {
 		return 0
 	}
@@ -85,9 +86,9 @@
 	return float64(tokens-1) * step.Seconds()
 }
 
-// work is a request's cost in priced seconds: at the class where it is cheapest;
-// nothing for a request without times.
-func work(all []station, seconds []float64) float64 {
+// work returns the cost of a request in priced seconds at the class where it is
+// cheapest, or 0 for a request without times.
+func work(all []targetClass, seconds []float64) float64 {
 	if len(seconds) == 0 {
 		return 0
 	}
@@ -98,9 +99,9 @@
 	return least
 }
 
-// setPrices sets prices in proportion to weights, so that a second of the whole
+// setPrices sets prices in proportion to weights, so that a second of the entire
 // pool costs 1.
-func setPrices(all []station, weights []float64) {
+func setPrices(all []targetClass, weights []float64) {
 	total := 0.0
 	for i := range all {
 		total += weights[i] * float64(all[i].count)
@@ -110,18 +111,18 @@
 	}
 }
 
-// priceSteps and priceRange: which ratios of prices are tried for a class, around
-// the ratio of its speed to the first one's.
+// priceSteps and priceRange define the price ratios tried for a class, around the
+// ratio of its speed to that of the first class.
 const (
 	priceSteps = 24
 	priceRange = 2.0
 )
 
-// findPrices looks for prices under which the requests cost the most: that makes
-// the bound tightest. Any prices give a bound, since a schedule that takes t
-// seconds of the classes pays Σ price × t, which is at least the request's work
-// and in all at most 1 a second.
-func findPrices(all []station, seconds [][]float64) {
+// findPrices searches for the prices under which the requests cost the most, as
+// these give the tightest bound. Any prices give a valid bound: a schedule that
+// uses t seconds of the classes pays Σ price × t, which is at least the work of the
+// request and in total at most 1 per second.
+func findPrices(all []targetClass, seconds [][]float64) {
 	weights := make([]float64, len(all))
 	for i := range all {
 		weights[i] = 1 / max(meanSeconds(seconds, i), 1e-9)
@@ -151,7 +152,7 @@
 	return sum / float64(max(n, 1))
 }
 
-func totalWork(all []station, seconds [][]float64) float64 {
+func totalWork(all []targetClass, seconds [][]float64) float64 {
 	sum := 0.0
 	for _, row := range seconds {
 		if w := work(all, row); !math.IsInf(w, 1) {
--- a/internal/replay/sweep/fluid.go
+++ b/internal/replay/sweep/fluid.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// fluid is a pool as one machine that may divide its time at will. Its work is
-// in priced seconds: 1 is what all its targets do in a second at full speed.
+// fluid models a pool as one machine that may divide its time arbitrarily. Work is
+// in priced seconds: 1 is what all targets do in a second at full speed.
 //
-// Jobs come in families, in each of which a later beginning means no earlier end.
-// The work of a family that must lie within slots a to b is then
+// Jobs belong to families, in each of which a later begin means no earlier end. The
+// work of a family that must lie within slots a to b is then
 // max(0, ended[b] − begun[a]): what ends by b, less what begins before a.
 type fluid struct {
-	// slot is the grid's step. Windows are widened to it, which keeps the bound one.
+	// slot is the step of the time grid. Windows are widened to it, which keeps the
+	// bound valid.
 	slot time.Duration
-	// done[i] is the work that the pool can have done by i slots.
+	// done[i] is the work that the pool can do in the first i slots.
 	done []float64
-	// sets hold every set of families.
+	// sets holds every set of families.
 	sets []familySet
 }
 
-// familySet holds what the families of a set, by bits, leave of the machine.
+// familySet is the capacity left by the accepted work of a set of families, which
+// is a bit set.
 type familySet struct {
 	families uint
 	// before[a] is the accepted work that begins before a, less done[a].
@@ -31,17 +33,17 @@
 	after []float64
 }
 
-// The grid's step is fine against the bounds of urgent requests, unless the
-// trace is so long that there would be too many slots.
+// minSlot is short compared with the bounds of urgent requests. Slots are longer
+// if a trace would have more than maxSlots.
 const (
-	finestSlot = 50 * time.Millisecond
-	mostSlots  = 3000
+	minSlot  = 50 * time.Millisecond
+	maxSlots = 3000
 )
 
 // newFluid makes an idle pool for some families of jobs. speed is the part of the
 // full speed at an instant.
 func newFluid(end time.Duration, speed func(time.Duration) float64, families int) *fluid {
-	f := &fluid{slot: max(end/mostSlots, finestSlot)}
+	f := &fluid{slot: max(end/maxSlots, minSlot)}
 	slots := int(end/f.slot) + 1
 	f.done = make([]float64, slots+1)
 	for i := range slots {
@@ -57,8 +59,8 @@
 	return f
 }
 
-// samplesPerSlot is how often the speed is looked at within a slot; the greatest
-// counts for the whole slot.
+// samplesPerSlot is the number of intervals at which the speed is sampled within a
+// slot. The maximum applies to the entire slot.
 const samplesPerSlot = 4
 
 func (f *fluid) work(slot int, speed func(time.Duration) float64) float64 {
@@ -77,7 +79,7 @@
 	begin, end   time.Duration
 }
 
-// slots are the job's window on the grid.
+// slots returns the window of the job on the grid.
 func (f *fluid) slots(j *job) (a, b int) {
 	last := len(f.done) - 1
 	a = min(int(j.begin/f.slot), last-1)
@@ -85,12 +87,12 @@
 	return a, max(min(b, last), a+1)
 }
 
-// accept takes as much of a job's work as fits and returns its part, 0 to 1.
-// What is accepted already is never given up, but may be moved in time.
+// accept accepts as much of a job's work as fits and returns its share, 0 to 1.
+// Work accepted before is never dropped, but may be moved in time.
 //
 // Work can be scheduled if and only if, for all a and b, what must lie between a
 // and b is no more than the pool does between them (one machine, preemptive).
-// So the room for a job is the least slack of the intervals around its window.
+// So the capacity for a job is the least slack of the intervals around its window.
 // Of all sets of families, the one whose work is positive there gives the true
 // slack, any other a greater one.
 func (f *fluid) accept(j *job) float64 {
@@ -118,8 +120,8 @@
 	return room / j.work
 }
 
-// least is slices.Min without its care for NaN, of which there is none: most of
-// the bound's time goes here.
+// least is slices.Min without the handling of NaN, which does not occur. Most of
+// the time to compute the bound is spent here.
 func least(values []float64) float64 {
 	found := values[0]
 	for _, v := range values {
@@ -142,9 +144,9 @@
 }
 
 // serve accepts jobs, higher tiers first and the cheapest first within a tier,
-// and returns how many of each tier were served, parts counted as parts. The
-// sets of work that can be scheduled are a polymatroid, on which this order
-// gives each tier its greatest number beside the tiers above.
+// and returns the number served of each tier, with jobs served in part counted by
+// their share. The sets of work that can be scheduled are a polymatroid, on which
+// this order gives each tier its maximum while the tiers above are at theirs.
 func (f *fluid) serve(jobs []job, tiers int) []float64 {
 	served := make([]float64, tiers)
 	order := slices.Clone(jobs)
@@ -157,8 +159,8 @@
 	return served
 }
 
-// after is the first instant by which the pool can do the work beyond what it
-// can have done at an instant; the grid's end if there is none.
+// after returns the first time by which the pool can do the given work in addition
+// to what it can do until the given time, or the end of the grid if there is none.
 func (f *fluid) after(at time.Duration, work float64) time.Duration {
 	last := len(f.done) - 1
 	i := min(int(math.Ceil(float64(at)/float64(f.slot))), last)
--- a/internal/replay/sweep/oracle_test.go
+++ b/internal/replay/sweep/oracle_test.go
@@ -17,13 +17,13 @@
 	"sycamoretrail/internal/standin/enginemodel"
 )
 
-// oracle serves a trace's engine requests at a pool's engines with no delay, all
-// sizes known and every engine's true state seen. It takes the requests that the
-// bound takes, the earliest first-token bound first, and shows by what it
-// reaches how tight the bound is.
+// oracle serves the engine requests of a trace at the engines of a pool without
+// delays and with exact sizes and engine states. It serves the requests that the
+// bound accepts, the earliest first-token bound first. Its result shows how tight
+// the bound is.
 type oracle struct {
 	engines []*oracleEngine
-	// queue holds what waits, higher tiers first and then the most urgent.
+	// queue holds the waiting requests by tier, then by urgency.
 	queue []*oracleRequest
 	byID  map[string]*oracleRequest
 	now   time.Duration
@@ -32,7 +32,7 @@
 type oracleEngine struct {
 	model  *enginemodel.Model
 	params enginemodel.Params
-	// prefill is when the prompts that it was given are computed at the earliest.
+	// prefill is the earliest time at which all submitted prompts are computed.
 	prefill time.Duration
 }
 
@@ -46,13 +46,13 @@
 	wanted, good    bool
 }
 
-// ahead is how much prefill an engine may have before it when it is given more.
-const ahead = 120 * time.Millisecond
+// maxPendingPrefill is the maximum pending prefill of an engine that may receive more.
+const maxPendingPrefill = 120 * time.Millisecond
 
 var oracleEpoch = time.Unix(0, 0)
 
-// reached is how many of a trace's requests to a pool of engines the oracle
-// serves in time, by tier.
+// reached returns the number of a trace's requests to a pool of engines that the
+// oracle serves in time, by tier.
 func reached(doc *document.Document, t *trace.Trace, pool string) []float64 {
 	p := newPoolBound(doc, t, nil, pool)
 	accepted := p.accepted()
@@ -79,8 +79,8 @@
 	return good
 }
 
-// accepted are the jobs whose work would fit even before their first token's
-// bound, the higher tiers and then the cheapest first.
+// accepted returns the jobs whose complete work fits before the bound of their first
+// token, accepted by tier and then the cheapest first.
 func (p *poolBound) accepted() []bool {
 	f := newFluid(p.end, p.speed, p.families)
 	order := make([]int, len(p.jobs))
@@ -160,8 +160,8 @@
 	}
 }
 
-// dispatch gives waiting requests to engines with a free place and no prefill
-// outstanding, the engine that would give the first token soonest first.
+// dispatch submits each waiting request to the engine with the earliest first token,
+// among those with a free slot and at most maxPendingPrefill queued.
 func (o *oracle) dispatch() {
 	for place := 0; place < len(o.queue); {
 		r := o.queue[place]
@@ -188,7 +188,7 @@
 	at = math.MaxInt64
 	for _, e := range o.engines {
 		load := e.model.Load()
-		if load.Running+load.Waiting >= e.params.MaxBatch || e.prefill > o.now+ahead {
+		if load.Running+load.Waiting >= e.params.MaxBatch || e.prefill > o.now+maxPendingPrefill {
 			continue
 		}
 		if first := e.firstAt(r, o.now); first < at {
@@ -198,7 +198,7 @@
 	return best, at
 }
 
-// firstAt is about when the first token would come.
+// firstAt estimates the time of the first token.
 func (e *oracleEngine) firstAt(r *oracleRequest, now time.Duration) time.Duration {
 	at := now
 	if next, stepping := e.model.Next(); stepping {
@@ -208,8 +208,8 @@
 	return max(at, e.prefill) + time.Duration(missing/e.params.PrefillRate*float64(time.Second)) + e.params.StepBase
 }
 
-// BenchmarkOracle gives the figures of the design note: what the oracle reaches
-// of the bound, in the top tier and in all, and of the bound of single tiers.
+// BenchmarkOracle reports the share of the bound that the oracle reaches, in the top
+// tier and in total.
 func BenchmarkOracle(b *testing.B) {
 	for _, deployment := range []trace.Deployment{trace.Tanglaw, trace.Quebracho} {
 		data, err := os.ReadFile("../../../examples/" + string(deployment) + ".json")
--- a/internal/replay/sweep/seed_test.go
+++ b/internal/replay/sweep/seed_test.go
@@ -6,8 +6,8 @@
 	_ "pgregory.net/rapid" // declares the flag
 )
 
-// A fixed seed, so that every run of CI tries the same cases; -rapid.seed on the
-// command line tries others.
+// The seed is fixed so that every run of CI checks the same cases. The flag
+// -rapid.seed selects others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/replay/sweep/speed.go
+++ b/internal/replay/sweep/speed.go
@@ -8,18 +8,18 @@
 	"sycamoretrail/internal/replay/virtual"
 )
 
-// stepMargin is how long a step that began at the former speed may go on.
+// stepMargin is how long a step that began at the previous speed may continue.
 const stepMargin = 200 * time.Millisecond
 
-// slowed is a time in which one target does less.
+// slowed is an interval in which one target is slower.
 type slowed struct {
 	from, to time.Duration
 	lost     float64
 }
 
-// speedUnder is the part of a pool's full speed at an instant under the faults
-// that take speed from targets: crashes and straggling.
-func speedUnder(doc *document.Document, pool string, all []station, faults []virtual.Fault) func(time.Duration) float64 {
+// speedUnder returns the speed of a pool by time, as a share of its full speed, under
+// the faults that slow targets down: crashes and straggling.
+func speedUnder(doc *document.Document, pool string, all []targetClass, faults []virtual.Fault) func(time.Duration) float64 {
 	var times []slowed
 	for i := range faults {
 		f := &faults[i]
@@ -51,7 +51,7 @@
 	}
 }
 
-func priceOf(doc *document.Document, all []station, target *document.Target) float64 {
+func priceOf(doc *document.Document, all []targetClass, target *document.Target) float64 {
 	class := trace.ClassOf(doc, target.Class)
 	for i := range all {
 		if all[i].class == class {
--- a/internal/replay/sweep/summary.go
+++ b/internal/replay/sweep/summary.go
@@ -14,7 +14,7 @@
 // Spread is a figure over several seeds.
 type Spread struct{ Mean, Min, Max float64 }
 
-// Summary is one tier at one load under one policy, over the seeds.
+// Summary summarises one tier at one load under one policy over the seeds.
 type Summary struct {
 	Load    float64
 	Policy  entry.Policy
@@ -23,18 +23,18 @@
 	Goodput Spread
 	// Bound, Ceiling and Demand are the means of Bounds.
 	Bound, Ceiling, Demand float64
-	// WastedPrefill is wasted over all prefill, of all tiers.
+	// WastedPrefill is the share of prefill that was wasted, over all tiers.
 	WastedPrefill Spread
 	// FirstToken and InterToken are means over the seeds, in ms; FirstP99 is the
 	// spread of the first token's p99.
 	FirstToken, InterToken report.Percentiles
 	FirstP99               Spread
-	// Inversions counts tier inversions over all tiers and seeds, Broken whatever
-	// else must not happen.
+	// Inversions counts tier inversions over all tiers and seeds, Broken all other
+	// violations.
 	Inversions, Broken int
 }
 
-// groups gives the rows of each load and policy, in order.
+// groups calls do with the rows of each load and policy, in order.
 func (r *Result) groups(do func(rows []Row)) {
 	for begin := 0; begin < len(r.Rows); {
 		end := begin
@@ -46,8 +46,7 @@
 	}
 }
 
-// Summaries sums the rows up in their order, each tier after the other and then
-// AllTiers.
+// Summaries summarises the rows in their order, each tier in turn and then AllTiers.
 func (r *Result) Summaries() []Summary {
 	var all []Summary
 	r.groups(func(rows []Row) {
@@ -109,7 +108,7 @@
 	return good / float64(total), true
 }
 
-// broken counts what must not happen in any replay, besides tier inversions.
+// broken counts the violations of guarantees other than tier inversions.
 func broken(r *report.Report) int {
 	return r.Unanswered + r.IncompleteAnswers + r.DispatchedTwice + r.NonIdempotentRanTwice + r.FalseNotRun
 }
--- a/internal/replay/sweep/sweep.go
+++ b/internal/replay/sweep/sweep.go
@@ -1,5 +1,5 @@
 // Package sweep runs the virtual replay over loads, policies and seeds, and
-// sets the results beside the bound of an oracle.
+// compares the results with the bound of an oracle.
 package sweep
 
 import (
@@ -19,12 +19,12 @@
 	"sycamoretrail/internal/replay/virtual"
 )
 
-// Options of a sweep.
+// Options are the parameters of a sweep.
 type Options struct {
 	Document   *document.Document
 	Deployment trace.Deployment
 	Scenario   trace.Scenario
-	// Name of the sweep, which tells it from others of the deployment.
+	// Name distinguishes the sweep from others of the deployment.
 	Name      string
 	Loads     []float64
 	Policies  []entry.Policy
@@ -33,7 +33,7 @@
 	Entries   int
 	ReportAge time.Duration
 	Faults    []virtual.Fault
-	// Workers bounds the replays under way at once.
+	// Workers limits the replays that run concurrently.
 	Workers int
 	// NewCore is as in virtual.Options.
 	NewCore func(cfg entry.Config, now time.Time) virtual.Core
@@ -48,7 +48,7 @@
 	Report *report.Report `json:"report"`
 }
 
-// Result is a whole sweep, its rows in order of load, policy and seed.
+// Result is the result of a sweep, its rows in order of load, policy and seed.
 type Result struct {
 	Deployment trace.Deployment `json:"deployment"`
 	Scenario   trace.Scenario   `json:"scenario"`
@@ -57,7 +57,7 @@
 	Rows       []Row            `json:"rows"`
 }
 
-// sample is the traffic of one load and seed, which all policies get.
+// sample is the traffic of one load and seed, used for all policies.
 type sample struct {
 	load   float64
 	seed   uint64
@@ -65,7 +65,7 @@
 	bounds Bounds
 }
 
-// Run does all replays of a sweep. A failure of one fails the sweep.
+// Run runs all replays of a sweep. If one fails, the sweep fails.
 func Run(options Options) (*Result, error) {
 	result := &Result{Deployment: options.Deployment, Scenario: options.Scenario, Name: options.Name}
 	for i := range options.Document.Tiers {
@@ -93,7 +93,7 @@
 	return result, nil
 }
 
-// compare orders rows by load, then by policy, each as the options list them.
+// compare orders rows by load, then by policy, each in the order of the options.
 func (o *Options) compare(a, b Row) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(o.Loads, a.Load), slices.Index(o.Loads, b.Load)),
@@ -101,7 +101,7 @@
 	)
 }
 
-// samples generates the traces and works out their bounds.
+// samples generates the traces and computes their bounds.
 func (o *Options) samples(pool pond.Pool) ([]sample, error) {
 	var samples []sample
 	for _, load := range o.Loads {
@@ -125,7 +125,7 @@
 	return samples, group.Wait()
 }
 
-// fill does one replay.
+// fill runs one replay and sets the report of its row.
 func (o *Options) fill(row *Row, t *trace.Trace) error {
 	in, err := virtual.Run(virtual.Options{
 		Trace: t, Document: o.Document, Policy: row.Policy, Entries: o.Entries, Seed: row.Seed,
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// ReadFile reads a result.
+// ReadFile reads a result from a file.
 func ReadFile(path string) (*Result, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/replay/sweep/sweep_test.go
+++ b/internal/replay/sweep/sweep_test.go
@@ -33,7 +33,7 @@
 	return doc
 }
 
-// refuser is a core that is ready and refuses everything.
+// refuser is a fake core that is ready and refuses all requests.
 type refuser struct {
 	self      message.Member
 	doc       *document.Document
@@ -53,7 +53,7 @@
 }
 
 var _ = Describe("a sweep", func() {
-	It("runs every load, policy and seed, and says what an oracle would reach", func() {
+	It("runs every load, policy and seed, and computes the bound of an oracle", func() {
 		doc := testDocument()
 		options := Options{
 			Document: doc, Deployment: trace.Tanglaw, Scenario: trace.Usual, Loads: []float64{0.5, 8}, Seeds: []uint64{1, 2},
--- a/internal/replay/sweep/table.go
+++ b/internal/replay/sweep/table.go
@@ -96,7 +96,7 @@
 	return flush(w, &b)
 }
 
-// sentTiers are the tiers that the sweep's traffic has, and AllTiers.
+// sentTiers returns the tiers that occur in the traffic of the sweep, and AllTiers.
 func (r *Result) sentTiers() []string {
 	var tiers []string
 	for _, tier := range r.Tiers {
