--- a/internal/replay/capacity/client.go
+++ b/internal/replay/capacity/client.go
@@ -13,18 +13,18 @@
 
 const (
 	clientDialTimeout = 2 * time.Second
-	// clientConnections bounds the connections to one address.
+	// clientConnections limits the connections to one address.
 	clientConnections = 8192
 	clientIdle        = 10 * time.Second
 	bytesPerToken     = 4
 	completionPath    = "/v1/chat/completions"
 	jsonType          = "application/json"
-	// patience is told to entries as both deadlines, so that what is measured is
-	// the cost of the way and not the policy of refusing.
-	patience = deadlineMS * time.Millisecond
+	// requestTimeout is sent to entries as both deadlines, so that the measurement covers
+	// the cost of the path and not the refusal policy.
+	requestTimeout = deadlineMS * time.Millisecond
 )
 
-// newHTTP makes a client that repeats nothing by itself.
+// newHTTP returns a client that does not retry requests.
 func newHTTP() *fasthttp.Client {
 	return &fasthttp.Client{
 		Name:                      "sycamore-replay",
@@ -35,14 +35,14 @@
 	}
 }
 
-// call is one request to an entry, or straight to a target.
+// call is one request to an entry or directly to a target.
 type call struct {
 	address string
 	method  string
 	path    string
 	// token identifies the organisation at an entry; empty at a target.
 	token string
-	// key is the idempotency key; empty: none.
+	// key is the idempotency key, or empty.
 	key  string
 	body []byte
 }
@@ -52,7 +52,7 @@
 	req.Header.SetMethod(c.method)
 	if c.token != "" {
 		req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.token)
-		limit := strconv.FormatInt(patience.Milliseconds(), 10)
+		limit := strconv.FormatInt(requestTimeout.Milliseconds(), 10)
 		req.Header.Set("X-Deadline-Ms", limit)
 		req.Header.Set("X-First-Token-Ms", limit)
 	}
@@ -65,14 +65,14 @@
 	}
 }
 
-// do sends the call and lets read take the answer, whose body is a stream.
+// do sends the call and passes the answer, whose body is a stream, to read.
 func (c *call) do(client *fasthttp.Client, read func(*fasthttp.Response) error) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	c.form(req)
 	resp.StreamBody = true
-	if err := client.DoTimeout(req, resp, patience); err != nil {
+	if err := client.DoTimeout(req, resp, requestTimeout); err != nil {
 		return fmt.Errorf("call %s: %w", c.address, err)
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
@@ -95,8 +95,8 @@
 	Content string `json:"content"`
 }
 
-// completionBody asks for a streamed answer. The number makes each prompt
-// another, so that no prefix cache answers for an engine.
+// completionBody returns the body of a streamed completion. The number makes each
+// prompt unique, so that it is not served from a prefix cache.
 func completionBody(model string, number, promptTokens, answerTokens int) ([]byte, error) {
 	text := fmt.Sprintf("%08d ", number)
 	if more := promptTokens*bytesPerToken - len(text); more > 0 {
--- a/internal/replay/capacity/core_bench_test.go
+++ b/internal/replay/capacity/core_bench_test.go
@@ -15,20 +15,20 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// These benchmarks take the real core of one entry to sizes that processes on
-// one machine cannot reach. Peers are played by rote: they send the heartbeats
-// of their interval, echo ours, and grant and report as a sound entry does.
+// These benchmarks run the real core of one entry at sizes that processes on one
+// machine cannot reach. Peers are simulated: they send heartbeats at their interval,
+// echo ours, and grant and report as a correct entry does.
 
 const (
 	benchTick = 10 * time.Millisecond
-	// Sizes of two years on.
+	// Sizes that are expected in two years.
 	fullMembers, fullTargets, fullOrganisations = 410, 1800, 38_000
 	fullZones, fullModels                       = 11, 7
 )
 
 var benchStart = time.Unix(1_700_000_000, 0)
 
-// world is one entry's core and what is round it.
+// world is the core of one entry and its simulated environment.
 type world struct {
 	b       *testing.B
 	e       *entry.Entry
@@ -80,7 +80,7 @@
 	w.step(entry.Tick{})
 	w.publish()
 	w.join()
-	// Long enough for every peer to be heard twice and every takeover to end.
+	// This is long enough for two heartbeats of each peer and for all takeovers.
 	w.run(20 * time.Second)
 	if w.entries != members {
 		b.Fatalf("%d of %d members are live", w.entries, members)
@@ -88,7 +88,7 @@
 	return w
 }
 
-// publish puts the next document on the log, whose answer comes at once.
+// publish writes the next document to the log, which answers at once.
 func (w *world) publish() {
 	w.version++
 	data, err := record.Encode(record.Record{Document: &record.Document{Data: w.data}})
@@ -129,13 +129,13 @@
 	}
 }
 
-// interval is the peers' heartbeat interval at this number of members.
+// interval returns the heartbeat interval of peers at this number of members.
 func (w *world) interval() time.Duration {
 	scale := (len(w.members) + 23) / 24
 	return document.Milliseconds(w.doc.Timing.HeartbeatMS) * time.Duration(scale)
 }
 
-// step gives the core one input and lets the peers answer what it put out.
+// step passes one input to the core and updates the peers from its outputs.
 func (w *world) step(in entry.Input) {
 	out := w.e.Step(w.now, in)
 	w.out = append(w.out[:0], out...)
@@ -154,7 +154,7 @@
 	}
 }
 
-// run lets time pass: ticks, and the heartbeats of all peers.
+// run advances the time with ticks and the heartbeats of all peers.
 func (w *world) run(d time.Duration) {
 	interval := w.interval()
 	for end := w.now.Add(d); w.now.Before(end); {
@@ -190,8 +190,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// BenchmarkIdle is one second of the core without requests, at so many members
-// with their share of the targets. Reported besides: heap held after it.
+// BenchmarkIdle measures one second of the core without requests, at x members with
+// their share of the targets. It also reports the heap in use afterwards.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48, 96, 205, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
@@ -200,14 +200,14 @@
 	}
 }
 
-// BenchmarkTargets is the same at 12 members and so many targets.
+// BenchmarkTargets is like BenchmarkIdle with 12 members and x targets.
 func BenchmarkTargets(b *testing.B) {
 	for _, n := range []int{12, 48, 192, 768, fullTargets} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) { benchmarkIdle(b, 12, n, 5) })
 	}
 }
 
-// BenchmarkOrganisations is the same at 12 members and so many organisations.
+// BenchmarkOrganisations is like BenchmarkIdle with 12 members and x organisations.
 func BenchmarkOrganisations(b *testing.B) {
 	for _, n := range []int{5, 1000, 10_000, fullOrganisations} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) { benchmarkIdle(b, 12, 53, n) })
@@ -225,15 +225,15 @@
 	b.ReportMetric(held/1e6, "MB-held")
 }
 
-// BenchmarkChange is the acceptance of one document by the core, from the
-// record to the new view, during which it decides nothing else.
+// BenchmarkChange measures the acceptance of one document by the core, from the
+// record to the new view. The core makes no other decisions in this time.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{5, 1000, 10_000, fullOrganisations} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) { benchmarkChange(b, 12, 53, n) })
 	}
 }
 
-// BenchmarkChangeTargets is the same at so many targets and 410 members.
+// BenchmarkChangeTargets is like BenchmarkChange with 410 members and x targets.
 func BenchmarkChangeTargets(b *testing.B) {
 	for _, n := range []int{53, 450, fullTargets} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) { benchmarkChange(b, fullMembers, n, 5) })
@@ -261,8 +261,8 @@
 	b.ReportMetric(float64(len(w.data)), "B/document")
 }
 
-// BenchmarkRequest is what one request costs the core of its owner, from its
-// arrival to the end of its run, with a grant by a peer or by itself.
+// BenchmarkRequest measures the cost of one request for the core of its owner, from
+// its arrival to the end of its run, with a grant by a peer or by itself.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []struct{ members, targets, organisations int }{
 		{6, 26, 5}, {48, 210, 5}, {fullMembers, fullTargets, 5}, {fullMembers, fullTargets, fullOrganisations},
@@ -287,7 +287,7 @@
 	}
 }
 
-// request takes one request through its whole life and returns its runs.
+// request processes one request from arrival to end and returns its number of runs.
 func (w *world) request(i int) int {
 	id := w.prefix.ID(fmt.Sprintf("%024d", i))
 	org := OrganisationName(i % len(w.doc.Organisations))
@@ -326,8 +326,9 @@
 	return runs
 }
 
-// BenchmarkReplaced is the replacement of one member: its process is gone, another
-// comes up under its name. Reported besides: messages that this makes one entry send.
+// BenchmarkReplaced measures the replacement of one member: its process ends and
+// another one starts under its name. It also reports the messages that one entry
+// sends because of this.
 func BenchmarkReplaced(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48, 96, 205, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
--- a/internal/replay/capacity/document.go
+++ b/internal/replay/capacity/document.go
@@ -1,6 +1,6 @@
-// Package capacity measures what daemons cost at growing sizes: it makes
-// documents of any size, sends streams and calls at a stated rate, reads what
-// running daemons used meanwhile, and fits slopes to the readings.
+// Package capacity measures the resource use of daemons at growing sizes: it
+// generates documents of any size, sends streams and calls at a given rate, reads
+// the usage of running daemons meanwhile, and fits slopes to the readings.
 package capacity
 
 import (
@@ -14,40 +14,42 @@
 	"sycamoretrail/internal/core/document"
 )
 
-// Size says how large a generated document is. Every name, address and key in
-// it follows from these numbers, so the same Size gives the same document.
+// Size is the size of a generated document. All names, addresses and keys in it
+// are derived from these numbers, so the same Size gives the same document.
 type Size struct {
-	// Targets are engines, Services targets of a plain service.
+	// Targets is the number of engines, Services that of targets of a plain service.
 	Targets, Services int
 	Organisations     int
-	// Models have a pool each; the engines are dealt out to them in turn.
+	// Models is the number of models. Each has its own pool, and the engines are
+	// assigned to them round robin.
 	Models int
 	Zones  int
-	// MaxInFlight is an engine's bound; 0: 32.
+	// MaxInFlight is the limit of an engine; 0 means 32.
 	MaxInFlight int
-	// OneGeneration makes all engines of the newer generation; else the older one
-	// is every other engine of a pool.
+	// OneGeneration makes all engines of the newer generation. Otherwise every
+	// second engine of a pool is of the older one.
 	OneGeneration bool
 }
 
-// ErrSize is wrapped where a document of the wanted size cannot be made.
+// ErrSize is wrapped if a document of the requested size cannot be generated.
 var ErrSize = errors.New("no document of this size")
 
-// Names of the parts of a generated document that callers need.
+// Names and limits in a generated document.
 const (
-	ServiceName      = "orders"
-	servicePool      = "orders"
-	classNewer       = "engine-newer"
-	classOlder       = "engine-older"
-	classService     = "service"
-	usualMaxInFlight = 32
-	// serviceMaxInFlight is what the stand-in of a service takes at once.
+	ServiceName        = "orders"
+	servicePool        = "orders"
+	classNewer         = "engine-newer"
+	classOlder         = "engine-older"
+	classService       = "service"
+	defaultMaxInFlight = 32
+	// serviceMaxInFlight is the number of concurrent calls of a service's stand-in.
 	serviceMaxInFlight = 64
 	deadlineMS         = 120_000
 )
 
-// Engines listen on firstEnginePort and up, services on firstServicePort and
-// up, so many to a loopback address; the next address follows.
+// Engines listen on ports from firstEnginePort, services on ports from
+// firstServicePort. After portsPerAddress engines the next loopback address is
+// used.
 const (
 	firstEnginePort  = 21001
 	firstServicePort = 21901
@@ -56,7 +58,7 @@
 	addressesMost    = 254
 )
 
-// tiers are four, as stated for the size of two years on.
+// tiers are the four tiers that are expected in two years.
 var tiers = []document.Tier{
 	{Name: "urgent", FirstTokenMS: 850, DeadlineMS: 30_000},
 	{Name: "interactive", FirstTokenMS: 1500, DeadlineMS: 60_000},
@@ -64,14 +66,16 @@
 	{Name: "batch", FirstTokenMS: 0, DeadlineMS: deadlineMS},
 }
 
-// ModelName and OrganisationName number the models and organisations from 0.
+// ModelName and OrganisationName return the names of models and organisations,
+// numbered from 0.
 func ModelName(i int) string        { return fmt.Sprintf("model-%d", i) }
 func OrganisationName(i int) string { return fmt.Sprintf("org-%05d", i) }
 
-// Token is the bearer token of an organisation of a generated document.
+// Token returns the bearer token of an organisation of a generated document.
 func Token(organisation string) string { return "capacity-" + organisation }
 
-// Generate makes a document of the size, with the defaults of all else.
+// Generate generates a document of the given size with defaults for all other
+// settings.
 func Generate(id string, size Size) (*document.Document, error) {
 	if err := size.check(); err != nil {
 		return nil, err
@@ -112,18 +116,19 @@
 }
 
 func (s Size) classes() []document.Class {
-	places := s.MaxInFlight
-	if places == 0 {
-		places = usualMaxInFlight
+	maxInFlight := s.MaxInFlight
+	if maxInFlight == 0 {
+		maxInFlight = defaultMaxInFlight
 	}
 	return []document.Class{
-		{Name: classNewer, Kind: document.KindEngine, MaxInFlight: places, PrefillRate: 8000, StepMS: 14, ChecksFencing: true, ExportsKV: true},
-		{Name: classOlder, Kind: document.KindEngine, MaxInFlight: places, PrefillRate: 4000, StepMS: 28},
+		{Name: classNewer, Kind: document.KindEngine, MaxInFlight: maxInFlight, PrefillRate: 8000, StepMS: 14, ChecksFencing: true, ExportsKV: true},
+		{Name: classOlder, Kind: document.KindEngine, MaxInFlight: maxInFlight, PrefillRate: 4000, StepMS: 28},
 		{Name: classService, Kind: document.KindService, MaxInFlight: serviceMaxInFlight},
 	}
 }
 
-// organisation gives each two models and, by its number, one to four tiers.
+// organisation returns an organisation with up to two models and, depending on its
+// number, one to four tiers.
 func (s Size) organisation(i int) document.Organisation {
 	name := OrganisationName(i)
 	sum := sha256.Sum256([]byte(Token(name)))
@@ -165,7 +170,7 @@
 
 func (s Size) zone(i int) string { return fmt.Sprintf("zone-%02d", i%s.Zones) }
 
-// loopback is an address of the loopback network; the whole of 127/8 is one.
+// loopback returns an address of the loopback network 127/8.
 func loopback(host, port int) string {
 	return net.JoinHostPort(fmt.Sprintf("127.0.%d.1", host), strconv.Itoa(port))
 }
--- a/internal/replay/capacity/fit.go
+++ b/internal/replay/capacity/fit.go
@@ -14,26 +14,26 @@
 	"text/tabwriter"
 )
 
-// Slope is a line through the points of one series by least squares.
+// Slope is a line fitted to the points of one series by least squares.
 type Slope struct {
 	Series string `json:"series"`
 	Value  string `json:"value"`
 	Points int    `json:"points"`
-	// From and To bound X.
+	// From and To are the least and greatest X.
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
-	// At 0 the line has the value Intercept, and rises by Slope for each X.
+	// Intercept is the value of the line at 0, Slope its rise per unit of X.
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	// R2 is the part of the variance that the line explains; 1 where there is none.
+	// R2 is the share of the variance that the line explains, or 1 if there is none.
 	R2 float64 `json:"r2"`
-	// Measured are the values in the order of X.
+	// Measured holds the values in the order of X.
 	X        []float64 `json:"x"`
 	Measured []float64 `json:"measured"`
 }
 
-// Fit forms a slope for each series and each value that all its points have.
-// Several points of one X count each.
+// Fit fits a slope for each series and each of its values. Points with the same X
+// count separately.
 func Fit(points []Point) []Slope {
 	bySeries := map[string][]Point{}
 	for _, p := range points {
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// line fits one value; a point without it had 0 of it.
+// line fits one value, which is 0 for points without it.
 func line(series, name string, list []Point) Slope {
 	s := Slope{Series: series, Value: name, Points: len(list), From: list[0].X, To: list[len(list)-1].X}
 	for _, p := range list {
@@ -101,11 +101,11 @@
 	return meanY - b*meanX, b, xy * xy / (xx * yy)
 }
 
-// benchLine is a line of `go test -bench` whose last part of the name is x=N.
+// benchLine matches a line of `go test -bench` whose name ends in x=N.
 var benchLine = regexp.MustCompile(`^Benchmark(\S*?)/(\S*/)?x=([0-9.]+)(?:-\d+)?\s+\d+\s+(.*)$`)
 
-// ReadBenchmarks makes points of the output of `go test -bench`: the series is
-// the benchmark's name, X is the x in it, the values are the reported units.
+// ReadBenchmarks reads points from the output of `go test -bench`. The series is
+// the benchmark's name, X is the x in it, and the values are the reported metrics.
 func ReadBenchmarks(path string) ([]Point, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return p, len(p.Values) > 0
 }
 
-// WriteTable writes slopes for people.
+// WriteTable writes slopes as a table.
 func WriteTable(out io.Writer, slopes []Slope) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "series\tvalue\tx\tmeasured\tat 0\tslope\tR2")
@@ -160,7 +160,7 @@
 	return strings.Join(texts, " ")
 }
 
-// WriteCSV writes slopes for programs.
+// WriteCSV writes slopes as CSV.
 func WriteCSV(out io.Writer, slopes []Slope) error {
 	w := csv.NewWriter(out)
 	rows := [][]string{{"series", "value", "points", "from", "to", "intercept", "slope", "r2"}}
--- a/internal/replay/capacity/hop.go
+++ b/internal/replay/capacity/hop.go
@@ -13,38 +13,38 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// HopOptions say between what the way is measured.
+// HopOptions are the parameters of Hop.
 type HopOptions struct {
-	// Entry is a callers' address.
+	// Entry is the callers' address of an entry.
 	Entry    string
 	Document *document.Document
-	// Organisation sends, with its Token.
+	// Organisation is the sender, Token its bearer token.
 	Organisation, Token string
-	// Count is how many calls of each kind go each way, one at a time.
+	// Count is the number of calls of each kind on each path, one at a time.
 	Count int
-	// PromptTokens and AnswerTokens size the completion.
+	// PromptTokens and AnswerTokens are the size of the completion.
 	PromptTokens, AnswerTokens int
 }
 
-// HopRow is one kind of call by one way.
+// HopRow is the result for one kind of call on one path.
 type HopRow struct {
 	Kind Kind   `json:"kind"`
 	Way  string `json:"way"`
-	// FirstByte is the time to the answer's first byte, Whole to its last.
+	// FirstByte is the time to the first byte of the answer, Whole to the last.
 	FirstByte report.Percentiles `json:"first_byte_ms"`
 	Whole     report.Percentiles `json:"whole_ms"`
 }
 
-// Ways of a call.
+// Paths of a call.
 const (
 	WayDirect = "direct"
 	WayEntry  = "entry"
 )
 
-// errNotWhole says that an answer did not end as it should.
-var errNotWhole = errors.New("the answer is not whole")
+// errTruncated is returned for a truncated answer.
+var errTruncated = errors.New("the answer is not whole")
 
-// hop measures both ways with one client.
+// hop measures both paths with one client.
 type hop struct {
 	options HopOptions
 	model   string
@@ -52,8 +52,8 @@
 	http    *fasthttp.Client
 }
 
-// Hop calls the same stand-ins in turn straight and by way of the entry, so that
-// both ways meet the same state of the machine, and sums the times up.
+// Hop calls the same stand-ins alternately directly and through the entry, so that
+// both paths have the same conditions on the machine, and summarises the times.
 func Hop(options HopOptions) ([]HopRow, error) {
 	h := &hop{options: options, direct: map[Kind]string{}, http: newHTTP()}
 	var err error
@@ -72,7 +72,7 @@
 	return rows, nil
 }
 
-// findTargets picks the first target of each kind that the entry could choose.
+// findTargets selects the first target of each kind that the entry could choose.
 func (h *hop) findTargets() {
 	for i := range h.options.Document.Targets {
 		t := &h.options.Document.Targets[i]
@@ -86,7 +86,7 @@
 	}
 }
 
-// warmUp calls open the connections and are not counted.
+// warmUp is the number of uncounted calls that open the connections.
 const warmUp = 20
 
 func (h *hop) measure(kind Kind) ([]HopRow, error) {
@@ -113,7 +113,7 @@
 	return rows, nil
 }
 
-// time makes one call and returns when its answer began and ended.
+// time makes one call and returns the times to the first and last byte.
 func (h *hop) time(kind Kind, way string, number int) (first, whole time.Duration, err error) {
 	c, err := h.call(kind, way, number)
 	if err != nil {
@@ -130,15 +130,15 @@
 		}
 		var one [1]byte
 		if _, err := io.ReadFull(src, one[:]); err != nil {
-			return fmt.Errorf("%w: %w", errNotWhole, err)
+			return fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		first = time.Since(sent)
 		rest, err := io.ReadAll(src)
 		if err != nil {
-			return fmt.Errorf("%w: %w", errNotWhole, err)
+			return fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		if kind == Completion && !bytes.HasSuffix(rest, []byte("data: [DONE]\n\n")) {
-			return errNotWhole
+			return errTruncated
 		}
 		whole = time.Since(sent)
 		return nil
@@ -159,7 +159,8 @@
 	}
 	var err error
 	c.method, c.path = fasthttp.MethodPost, completionPath
-	// Each way has prompts of its own, so that neither finds the other's cached.
+	// Each path has its own prompts, so that neither benefits from prefixes cached for
+	// the other.
 	if way == WayEntry {
 		number += 1 << 20
 	}
--- a/internal/replay/capacity/load.go
+++ b/internal/replay/capacity/load.go
@@ -19,7 +19,7 @@
 	"sycamoretrail/internal/replay/report"
 )
 
-// Kind is what a load consists of.
+// Kind is the kind of request of a load.
 type Kind string
 
 const (
@@ -30,7 +30,7 @@
 	// KeyedCall is a POST of the plain service with an idempotency key, which
 	// is claimed on the log before it runs.
 	KeyedCall Kind = "keyed"
-	// Resolve asks which entry to use.
+	// Resolve requests the list of entries to use.
 	Resolve Kind = "resolve"
 )
 
@@ -40,46 +40,47 @@
 	errStatus = errors.New("no answer of the target")
 )
 
-// Load says what is sent, and how fast. All organisations whose tokens are
-// given send in turn, to all entries in turn.
+// Load describes the requests to send and their rate. The organisations with tokens
+// send in turn, to the entries in turn.
 type Load struct {
-	// Entries are callers' addresses.
+	// Entries are the callers' addresses of the entries.
 	Entries  []string
 	Document *document.Document
 	Tokens   map[string]string
 	Kind     Kind
-	// Count bounds the requests; 0: until the context ends.
+	// Count limits the requests; 0 means until the context ends.
 	Count int
-	// Rate is requests a second; 0: all of them at once.
+	// Rate is in requests per second; 0 means all at once.
 	Rate float64
-	// PromptTokens and AnswerTokens size a completion.
+	// PromptTokens and AnswerTokens are the size of a completion.
 	PromptTokens, AnswerTokens int
 }
 
-// Tally is what became of a load.
+// Tally counts the results of a load.
 type Tally struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
-	// Refused were answered with another outcome, Failed not at all.
+	// Refused requests received another outcome, Failed ones no answer.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// Faulty streams lost, doubled or reordered a chunk, or differ from the end
-	// mark's count or checksum.
+	// Faulty streams lost, duplicated or reordered a chunk, or differ from the count
+	// or checksum of the outcome event.
 	Faulty int `json:"faulty"`
-	// Chunks is what all streams brought together, Expected what they were to.
+	// Chunks is the number of chunks received in all streams, Expected the correct
+	// number.
 	Chunks   int `json:"chunks"`
 	Expected int `json:"chunks_expected"`
-	// OpenMost is how many streams were open at once, between the first chunk
-	// and the end mark.
+	// OpenMost is the maximum number of streams open at once, from the header to the
+	// outcome event.
 	OpenMost int `json:"open_most"`
-	// Why counts the reasons of what was not answered whole.
+	// Why counts the requests without a complete answer by reason.
 	Why        map[string]int     `json:"why,omitempty"`
 	FirstChunk report.Percentiles `json:"first_chunk_ms"`
 	Whole      report.Percentiles `json:"whole_ms"`
 	Seconds    float64            `json:"seconds"`
 }
 
-// sender is a load under way.
+// sender is the state of a load that is being sent.
 type sender struct {
 	load          Load
 	http          *fasthttp.Client
@@ -92,10 +93,10 @@
 	first, whole []time.Duration
 }
 
-// Run sends the load and waits for the last answer.
+// Run sends the load and waits for all answers.
 func (l Load) Run(ctx context.Context) (Tally, error) {
 	if len(l.Entries) == 0 || len(l.Tokens) == 0 || l.Count == 0 && l.Rate <= 0 {
-		return Tally{}, fmt.Errorf("%w: name entries, tokens, and a count or a rate", ErrLoad)
+		return Tally{}, fmt.Errorf("%w: entries, tokens, and a count or a rate are required", ErrLoad)
 	}
 	s := &sender{load: l, http: newHTTP(), organisations: slices.Sorted(maps.Keys(l.Tokens)), tag: strconv.FormatInt(time.Now().UnixNano(), 36)}
 	s.tally.Why = map[string]int{}
@@ -115,7 +116,7 @@
 	return s.tally, nil
 }
 
-// due waits for a request's time; false: the load is over.
+// due waits for the send time of a request, and returns false if the load is over.
 func (s *sender) due(ctx context.Context, began time.Time, i int) bool {
 	if s.load.Rate <= 0 {
 		return ctx.Err() == nil
@@ -130,11 +131,11 @@
 	}
 }
 
-// send makes one request and enters what became of it.
+// send sends one request and records its result.
 func (s *sender) send(i int) {
 	c, err := s.call(i)
 	if err != nil {
-		s.enter(func(t *Tally) { t.Sent++; t.Failed++; t.Why[err.Error()]++ })
+		s.record(func(t *Tally) { t.Sent++; t.Failed++; t.Why[err.Error()]++ })
 		return
 	}
 	sent := time.Now()
@@ -153,7 +154,7 @@
 		return nil
 	})
 	took := time.Since(sent)
-	s.enter(func(t *Tally) {
+	s.record(func(t *Tally) {
 		t.Sent++
 		switch {
 		case err == nil:
@@ -169,7 +170,7 @@
 	})
 }
 
-// stream reads one streamed answer and checks every chunk of it.
+// stream reads one streamed answer and checks all its chunks.
 func (s *sender) stream(c *call, sent time.Time) {
 	var seen live.Streamed
 	err := c.do(s.http, func(resp *fasthttp.Response) error {
@@ -183,9 +184,9 @@
 		return err
 	})
 	ended := time.Now()
-	s.enter(func(t *Tally) {
+	s.record(func(t *Tally) {
 		t.Sent++
-		// The engine sends a chunk for each token and one for its account.
+		// The engine sends a chunk for each token and one with the usage.
 		t.Expected += s.load.AnswerTokens + 1
 		t.Chunks += seen.Chunks
 		switch {
@@ -206,7 +207,7 @@
 	})
 }
 
-func (s *sender) enter(change func(*Tally)) {
+func (s *sender) record(change func(*Tally)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change(&s.tally)
@@ -246,7 +247,7 @@
 
 func servicePath(i int) string { return "/v1/services/" + ServiceName + "/items/" + strconv.Itoa(i) }
 
-// modelOf is the first model that an organisation may use.
+// modelOf returns the first model that an organisation may use.
 func modelOf(doc *document.Document, organisation string) (string, error) {
 	for i := range doc.Organisations {
 		if o := &doc.Organisations[i]; o.Name == organisation && len(o.Models) > 0 {
--- a/internal/replay/capacity/point.go
+++ b/internal/replay/capacity/point.go
@@ -17,21 +17,21 @@
 	"sycamoretrail/internal/operators/api"
 )
 
-// Point is what daemons used at one value of what is varied. Rates are a second
-// and a daemon, as the mean of all daemons that were read.
+// Point is the resource use of daemons at one value of the varied quantity. Rates
+// are per second and daemon, as the mean of all daemons that were read.
 type Point struct {
-	// Series names what is varied, X is its value.
+	// Series names the varied quantity, X is its value.
 	Series string  `json:"series"`
 	X      float64 `json:"x"`
-	// Daemons were read for so many Seconds.
+	// Daemons is the number of daemons read, Seconds the time between the readings.
 	Daemons int     `json:"daemons"`
 	Seconds float64 `json:"seconds"`
-	// LoadBefore and LoadAfter are the machine's load average.
+	// LoadBefore and LoadAfter are the load average of the machine.
 	LoadBefore float64 `json:"load_average_before"`
 	LoadAfter  float64 `json:"load_average_after"`
-	// Values are the readings by name; see the constants.
+	// Values holds the readings by name; see the constants.
 	Values map[string]float64 `json:"values"`
-	// Sent is what became of the load, if one was sent.
+	// Sent is the result of the load, if one was sent.
 	Sent *Tally `json:"sent,omitempty"`
 }
 
@@ -57,33 +57,33 @@
 	milliseconds      = float64(time.Second / time.Millisecond)
 )
 
-// errPublish says that a change did not come into force.
+// errPublish is returned if a change was not accepted.
 var errPublish = errors.New("change was not accepted")
 
-// Measurement says what to read, and under which load.
+// Measurement describes which daemons to read and under which load.
 type Measurement struct {
 	Series string
 	X      float64
-	// Addresses are callers' addresses, Pids the processes of the daemons.
+	// Addresses are the callers' addresses of the daemons, Pids their processes.
 	Addresses []string
 	Pids      []int
 	Duration  time.Duration
-	// Load is sent meanwhile; a Rate and a Count of 0: none.
+	// Load is sent meanwhile, unless both Rate and Count are 0.
 	Load Load
-	// Changes publishes the document again so often; 0: never.
+	// Changes is the interval at which the document is published again; 0 means never.
 	Changes   time.Duration
 	Operators []string
 	Token     string
 }
 
-// reading is all daemons' counters at one moment.
+// reading holds the counters of all daemons at one time.
 type reading struct {
 	at      time.Time
 	usage   Usage
 	metrics []Series
 }
 
-// Measure reads the daemons twice and returns the difference.
+// Measure reads the daemons twice and returns the usage between the readings.
 func (m Measurement) Measure(ctx context.Context) (Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -128,7 +128,7 @@
 			ended <- tally
 		}()
 		<-ctx.Done()
-		// Requests that still wait then are of no more interest.
+		// Requests that are still waiting after settleAfter are ignored.
 		select {
 		case tally := <-ended:
 			done <- &tally
@@ -139,8 +139,8 @@
 	return done
 }
 
-// startChanges publishes the document again and again, each time as the next
-// version of the one in force.
+// startChanges publishes the document repeatedly, each time as the next version of
+// the one in force.
 func (m Measurement) startChanges(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	if m.Changes <= 0 {
@@ -201,7 +201,7 @@
 	return r, nil
 }
 
-// compare fills in the values from two readings.
+// compare computes the values from two readings.
 func (p *Point) compare(before, after reading) {
 	p.Seconds = after.at.Sub(before.at).Seconds()
 	each := float64(p.Daemons)
@@ -243,7 +243,7 @@
 	}
 }
 
-// AppendPoint adds a point to a file of one JSON object a line.
+// AppendPoint appends a point to a file with one JSON object per line.
 func AppendPoint(path string, p Point) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("write point: %w", err)
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// ReadPoints reads such a file.
+// ReadPoints reads a file written by AppendPoint.
 func ReadPoints(path string) ([]Point, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/replay/capacity/process.go
+++ b/internal/replay/capacity/process.go
@@ -13,36 +13,36 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Errors of reading what daemons used.
+// Errors of reading the resource use of daemons.
 var (
 	ErrProcess = errors.New("process cannot be read")
 	ErrMetrics = errors.New("metrics cannot be read")
 )
 
-// Usage is what a process has used of the machine.
+// Usage is the resource use of a process.
 type Usage struct {
-	// CPU is user and system time since its start.
+	// CPU is the user and system time since the start of the process.
 	CPU time.Duration
-	// Resident is its memory in bytes.
+	// Resident is the resident memory in bytes.
 	Resident int64
 }
 
-// Fields of /proc/PID/stat, counted from the one behind the name in brackets.
+// Fields of /proc/PID/stat, counted from the one after the name in brackets.
 const (
 	statUser     = 11
 	statSystem   = 12
 	statResident = 21
-	// ticksPerSecond is USER_HZ, which Linux fixes for what it shows to programs.
+	// ticksPerSecond is USER_HZ, which is fixed in the Linux user-space interface.
 	ticksPerSecond = 100
 )
 
-// ReadUsage reads it from the system.
+// ReadUsage reads the usage of a process from /proc.
 func ReadUsage(pid int) (Usage, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, fmt.Errorf("%w: %w", ErrProcess, err)
 	}
-	// The name may hold spaces and brackets; what follows its last bracket not.
+	// The name may contain spaces and brackets, the fields after its last bracket not.
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	if len(fields) <= statResident {
 		return Usage{}, fmt.Errorf("%w: %d fields", ErrProcess, len(fields))
@@ -59,7 +59,8 @@
 	}, nil
 }
 
-// LoadAverage is the machine's of the last minute; 0 where it is not told.
+// LoadAverage returns the machine's load average of the last minute, or 0 if it is
+// not available.
 func LoadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -78,7 +79,7 @@
 
 const metricsPrefix = "sycamoretrail_"
 
-// Gauge reads a series without labels of its own.
+// Gauge returns the value of a metric that has a single series.
 func (s Series) Gauge(name string) float64 {
 	for key, value := range s {
 		if strings.HasPrefix(key, metricsPrefix+name+"{") {
@@ -88,7 +89,7 @@
 	return 0
 }
 
-// By reads the series of a name by the value of one label.
+// By returns the series of a metric by the value of one label.
 func (s Series) By(name, label string) map[string]float64 {
 	values := map[string]float64{}
 	for key, value := range s {
@@ -105,7 +106,7 @@
 	return values
 }
 
-// Sum adds the series of a name up whose label has the value.
+// Sum returns the sum of the series of a metric whose label has the value.
 func (s Series) Sum(name, label, value string) float64 {
 	sum := 0.0
 	for key, reading := range s {
@@ -118,7 +119,7 @@
 
 // ReadMetrics reads the /metrics page at an entry's callers' address.
 func ReadMetrics(client *fasthttp.Client, address string) (Series, error) {
-	status, body, err := client.GetTimeout(nil, "http://"+address+"/metrics", patience)
+	status, body, err := client.GetTimeout(nil, "http://"+address+"/metrics", requestTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrMetrics, address, err)
 	}
--- a/internal/replay/capacity/scheduler_bench_test.go
+++ b/internal/replay/capacity/scheduler_bench_test.go
@@ -11,7 +11,7 @@
 	"sycamoretrail/internal/core/request"
 )
 
-// ownTarget is an engine that the entry under test schedules.
+// ownTarget returns an engine that the entry under test schedules.
 func (w *world) ownTarget() (name, pool string) {
 	for i := range w.doc.Targets {
 		t := &w.doc.Targets[i]
@@ -46,7 +46,7 @@
 	return n
 }
 
-// BenchmarkScheduled is what one request of a peer costs the core of the
+// BenchmarkScheduled measures the cost of one request of a peer for the core of the
 // target's scheduler: offer, grant, two reports, end.
 func BenchmarkScheduled(b *testing.B) {
 	for _, size := range []struct{ members, targets int }{{6, 26}, {48, 210}, {fullMembers, fullTargets}} {
@@ -80,8 +80,8 @@
 	}
 }
 
-// fill offers work of the highest tier to all targets of a pool that the entry
-// schedules, until each refuses; nothing there can yield then.
+// fill offers requests of the highest tier to all targets of a pool that the entry
+// schedules, until each refuses. None of their requests can be displaced then.
 func (w *world) fill(pool string, next int) int {
 	for i := range w.doc.Targets {
 		t := &w.doc.Targets[i]
@@ -89,7 +89,7 @@
 			continue
 		}
 		full := false
-		for range 4 * (usualMaxInFlight + w.doc.Limits.QueuePerTarget) {
+		for range 4 * (defaultMaxInFlight + w.doc.Limits.QueuePerTarget) {
 			w.step(entry.FromPeer{From: w.peers[next%len(w.peers)].member.Incarnation, Message: w.offerTo(t.Name, next, 0)})
 			next++
 			if full = sentOf[message.Refuse](w) > 0; full {
@@ -103,8 +103,9 @@
 	return next
 }
 
-// BenchmarkFloor is one exchange of a scheduler that must refuse, with all the
-// others: its asks go out and every reply is taken. Reported besides: asks.
+// BenchmarkFloor measures one exchange of the tier floor between a scheduler that
+// must refuse and all others, until all replies are processed. It also reports the
+// number of asks.
 func BenchmarkFloor(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48, 96, 205, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// BenchmarkFloorAsked is one question of another scheduler.
+// BenchmarkFloorAsked measures the reply to one ask of another scheduler.
 func BenchmarkFloorAsked(b *testing.B) {
 	for _, n := range []int{6, 48, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
--- a/internal/replay/capacity/watch.go
+++ b/internal/replay/capacity/watch.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// watchEvery is how often the memory of watched processes is read.
+// watchEvery is the interval at which the memory of watched processes is read.
 const watchEvery = 50 * time.Millisecond
 
-// Watched is what processes used while something ran.
+// Watched is the resource use of processes while some work ran.
 type Watched struct {
-	// CPU is the time of all of them together, in seconds.
+	// CPU is the total processor time of all processes, in seconds.
 	CPU float64 `json:"cpu_seconds"`
-	// ResidentBefore and ResidentMost are bytes of all together.
+	// ResidentBefore and ResidentMost are totals of all processes.
 	ResidentBefore int64 `json:"resident_before_bytes"`
 	ResidentMost   int64 `json:"resident_most_bytes"`
-	// HeapBefore and HeapMost are the entries' own word, read once a second.
+	// HeapBefore and HeapMost are from the entries' metrics, read once a second.
 	HeapBefore int64   `json:"heap_before_bytes"`
 	HeapMost   int64   `json:"heap_most_bytes"`
 	LoadBefore float64 `json:"load_average_before"`
 	LoadAfter  float64 `json:"load_average_after"`
 }
 
-// Watch runs work and reads meanwhile what the processes of the ids use;
-// addresses are the entries' callers' addresses, for their heap.
+// Watch runs work and meanwhile reads the resource use of the processes with the
+// given ids. addresses are the callers' addresses of the entries, to read the heap.
 func Watch(ctx context.Context, pids []int, addresses []string, work func(context.Context) error) (Watched, error) {
 	w := Watched{LoadBefore: LoadAverage()}
 	before, err := sumUsage(pids)
