--- a/cmd/sycamore-replay/capacity.go
+++ b/cmd/sycamore-replay/capacity.go
@@ -16,7 +16,7 @@
 	"sycamoretrail/internal/replay/capacity"
 )
 
-// deploymentFlags name a running deployment.
+// deploymentFlags are the flags that identify a running deployment.
 type deploymentFlags struct {
 	entries          []string
 	pids             []int
@@ -29,7 +29,7 @@
 	flags.IntSliceVar(&f.pids, "pids", nil, "process ids of the entries, to read their processor time and memory")
 	flags.StringVar(&f.document, "document", "", "document in force")
 	flags.StringVar(&f.tokens, "tokens", "", "JSON file with the bearer token of each organisation")
-	must(command, "entries", "document", "tokens")
+	mustMarkRequired(command, "entries", "document", "tokens")
 }
 
 func (f *deploymentFlags) read() (*document.Document, map[string]string, error) {
@@ -170,7 +170,7 @@
 	return table.Flush()
 }
 
-// writeJSON writes a result; without a path it writes nothing.
+// writeJSON writes a result, unless the path is empty.
 func writeJSON(path string, result any) error {
 	if path == "" {
 		return nil
--- a/cmd/sycamore-replay/document.go
+++ b/cmd/sycamore-replay/document.go
@@ -11,9 +11,9 @@
 	"sycamoretrail/internal/replay/capacity"
 )
 
-// tokensMost bounds the organisations whose tokens are written: enough to send
-// load as, and a file that can be looked at.
-const tokensMost = 100
+// maxTokens limits the organisations whose tokens are written. These suffice to send
+// load, and the file remains readable.
+const maxTokens = 100
 
 func generateDocumentCommand() *cobra.Command {
 	size := capacity.Size{}
@@ -55,14 +55,14 @@
 	flags.IntVar(&size.MaxInFlight, "max-in-flight", 0, "requests in flight at one engine (0: 32)")
 	flags.BoolVar(&size.OneGeneration, "one-generation", false, "all engines of the newer generation")
 	flags.StringVar(&out, "out", "", "file to write")
-	flags.StringVar(&tokens, "tokens", "", fmt.Sprintf("file for the bearer tokens of the first %d organisations", tokensMost))
-	must(command, "out")
+	flags.StringVar(&tokens, "tokens", "", fmt.Sprintf("file for the bearer tokens of the first %d organisations", maxTokens))
+	mustMarkRequired(command, "out")
 	return command
 }
 
 func writeTokens(path string, organisations int) error {
 	list := map[string]string{}
-	for i := range min(organisations, tokensMost) {
+	for i := range min(organisations, maxTokens) {
 		name := capacity.OrganisationName(i)
 		list[name] = capacity.Token(name)
 	}
--- a/cmd/sycamore-replay/fault.go
+++ b/cmd/sycamore-replay/fault.go
@@ -14,7 +14,7 @@
 	"sycamoretrail/internal/replay/faults"
 )
 
-// errFault: the product did not stand a failure.
+// errFault is returned if a guarantee was violated in a failure.
 var errFault = errors.New("a failure was not stood")
 
 // faultFlags are the flags of the fault command.
--- a/cmd/sycamore-replay/generate.go
+++ b/cmd/sycamore-replay/generate.go
@@ -45,12 +45,12 @@
 	flags.Float64Var(&options.Load, "load", 0.8, "mean engine demand as a multiple of capacity")
 	flags.Float64Var(&options.Seconds, "seconds", 30, "time over which requests arrive")
 	flags.StringVar(&out, "out", "", "file to write")
-	must(command, "document", "out")
+	mustMarkRequired(command, "document", "out")
 	return command
 }
 
-// must marks flags as required; it fails only for a name that does not exist.
-func must(command *cobra.Command, names ...string) {
+// mustMarkRequired marks flags as required. It panics if a flag does not exist.
+func mustMarkRequired(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkFlagRequired(name); err != nil {
 			panic(err)
--- a/cmd/sycamore-replay/main.go
+++ b/cmd/sycamore-replay/main.go
@@ -1,5 +1,5 @@
-// Command sycamore-replay sends recorded traces, live or on a virtual clock,
-// and holds the result against stated outcomes.
+// Command sycamore-replay replays recorded traces, live or on a virtual clock, and
+// checks the result against stated outcomes.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	}
 }
 
-// root runs a replay itself when no other command is named.
+// root returns the root command, which runs a replay if no subcommand is given.
 func root() *cobra.Command {
 	command := runCommand()
 	command.Use = "sycamore-replay"
--- a/cmd/sycamore-replay/plot.go
+++ b/cmd/sycamore-replay/plot.go
@@ -83,7 +83,7 @@
 	return err
 }
 
-// readPoints gathers what is to be drawn.
+// readPoints reads the points to draw from the sweeps and reports.
 func readPoints(sweepPath, before string, reports []string) ([]plot.Point, error) {
 	var points []plot.Point
 	if sweepPath != "" {
--- a/cmd/sycamore-replay/run.go
+++ b/cmd/sycamore-replay/run.go
@@ -19,7 +19,7 @@
 	"sycamoretrail/internal/replay/trace"
 )
 
-// errOutcomes: a stated outcome does not hold.
+// errOutcomes is returned if stated outcomes do not hold.
 var errOutcomes = errors.New("stated outcomes do not hold")
 
 // runFlags are the flags of the run command.
@@ -31,8 +31,8 @@
 	virtual                                         virtualFlags
 }
 
-// runCommand is the run command. The root command is one too, so that the name
-// may be left out.
+// runCommand returns the run command. The root command is another instance of it, so
+// that the name of the command may be omitted.
 func runCommand() *cobra.Command {
 	f := &runFlags{}
 	command := &cobra.Command{
@@ -63,7 +63,7 @@
 	flags.DurationVar(&f.live.GiveUp, "give-up", live.DefaultGiveUp, "live: wait past the deadline before a caller stops")
 	flags.BoolVar(&f.live.Ledgers, "ledgers", true, "live: count runs from the targets' ledgers")
 	f.virtual.register(flags)
-	must(command, "trace")
+	mustMarkRequired(command, "trace")
 	return command
 }
 
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	// The outcomes are read first: a mistake in them must not cost a run.
+	// The outcomes are read first, so that a mistake in them is found before the run.
 	var stated outcomes.Stated
 	if f.outcomes != "" {
 		if stated, err = outcomes.Read(f.outcomes); err != nil {
@@ -99,7 +99,7 @@
 	return f.conclude(report.Compute(in), stated)
 }
 
-// applyDefaults names the example files of the trace's deployment.
+// applyDefaults sets the paths of the example files of the trace's deployment.
 func (f *runFlags) applyDefaults(deployment string) {
 	if f.document == "" {
 		f.document = filepath.Join("examples", deployment+".json")
@@ -131,7 +131,7 @@
 	return time.Duration(f.toleranceMS) * time.Millisecond
 }
 
-// conclude prints and writes the report and judges it.
+// conclude prints and writes the report and checks the stated outcomes.
 func (f *runFlags) conclude(r *report.Report, stated outcomes.Stated) error {
 	if err := r.Table(os.Stdout); err != nil {
 		return err
--- a/cmd/sycamore-replay/slopes.go
+++ b/cmd/sycamore-replay/slopes.go
@@ -65,7 +65,7 @@
 	flags.StringSliceVar(&m.Operators, "operators", nil, "operators' addresses of entries, to publish at")
 	flags.StringVar(&m.Token, "operator-token", "", "operators' bearer token")
 	flags.StringVar(&points, "points", "out/slopes/points.jsonl", "file to add the point to")
-	must(command, "series")
+	mustMarkRequired(command, "series")
 	return command
 }
 
--- a/cmd/sycamore-replay/sweep.go
+++ b/cmd/sycamore-replay/sweep.go
@@ -86,7 +86,7 @@
 	return f.write(result)
 }
 
-// nameSweep names a sweep without a name by what makes it special.
+// nameSweep names a sweep without a name by its scenario and faults.
 func (f *sweepFlags) nameSweep() {
 	if f.options.Name != "" {
 		return
--- a/cmd/sycamore-replay/virtual.go
+++ b/cmd/sycamore-replay/virtual.go
@@ -15,11 +15,11 @@
 	"sycamoretrail/internal/replay/virtual"
 )
 
-// Schedules of failures that have a name.
+// Paths of the named schedules of faults.
 const (
-	// allFaults is the schedule that --faults all stands for.
+	// allFaults is the path of the schedule for --faults all.
 	allFaults = "traces/faults.json"
-	// namedFaults is the schedule that any other name stands for.
+	// namedFaults is the path of the schedule for any other name.
 	namedFaults = "traces/faults-%s.json"
 )
 
@@ -52,7 +52,7 @@
 	return options, err
 }
 
-// readFaults reads a schedule by its name; none for an empty name.
+// readFaults reads a schedule by its name or path. An empty name means no faults.
 func readFaults(name string) ([]virtual.Fault, error) {
 	switch {
 	case name == "":
@@ -65,10 +65,10 @@
 	return virtual.ReadFaults(name)
 }
 
-// defaultEntries is the number of entries of the deployments of today.
+// defaultEntries is the number of entries of the current deployments.
 const defaultEntries = 6
 
-// entryCount reads --entries in virtual mode.
+// entryCount returns the number given by --entries in virtual mode.
 func (f *runFlags) entryCount() (int, error) {
 	if len(f.entries) == 0 {
 		return defaultEntries, nil
