--- a/internal/replay/virtual/caller.go
+++ b/internal/replay/virtual/caller.go
@@ -117,7 +117,7 @@
 	}
 	spent, found := c.caller.ask()
 	if !found {
-		w.after(spent+restAfterRound, c.find)
+		w.after(spent+pauseAfterRound, c.find)
 		return
 	}
 	c.entries, c.prefix = c.caller.entries, c.caller.prefix
@@ -192,7 +192,7 @@
 	}
 	c.turn++
 	if c.turn%len(c.entries) == 0 {
-		c.world.after(restAfterRound, c.find)
+		c.world.after(pauseAfterRound, c.find)
 		return
 	}
 	c.send()
--- a/internal/replay/virtual/faults.go
+++ b/internal/replay/virtual/faults.go
@@ -63,7 +63,7 @@
 
 const (
 	// crashDelay is how long a target runs a crashing request before it crashes,
-	// poisonOutage how long it is unavailable afterwards.
+	// crashOutage how long it is unavailable afterwards.
 	crashDelay  = 30 * time.Millisecond
 	crashOutage = time.Second
 )
--- a/internal/replay/virtual/options.go
+++ b/internal/replay/virtual/options.go
@@ -62,7 +62,7 @@
 const (
 	callersPerEntry = 4
 	askTimeout      = 2 * time.Second
-	restAfterRound  = 100 * time.Millisecond
+	pauseAfterRound = 100 * time.Millisecond
 	waitLimit       = 2 * time.Second
 	giveUp          = 12 * time.Second
 )
