--- a/cmd/sycamore-entry/dataplane.go
+++ b/cmd/sycamore-entry/dataplane.go
@@ -48,7 +48,7 @@
 	switch in := in.(type) {
 	case entry.TargetState:
 		c.targets.note(in)
-	case entry.RunEnded, entry.RunStarted, entry.CallerGone, entry.OrderDone:
+	case entry.RunEnded, entry.RunStarted, entry.CallerLeft, entry.OrderDone:
 		c.loop.Deliver(in)
 		return true
 	}
--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -66,7 +66,7 @@
 		Name: s.Name, Pool: s.Pool, Class: s.Class, Zone: s.Zone,
 		Scheduler: s.SchedulerName, Here: s.Here, Leaving: s.Leaving,
 	}
-	if s.Heard {
+	if s.HasDigest {
 		t.Available = s.Digest.Available
 		t.Limit = s.Digest.Limit
 		t.InFlight = s.Digest.InFlight
@@ -103,7 +103,7 @@
 		return operators.Explanation{}, err
 	}
 	answer := operators.Explanation{ID: id, Known: x.Known, Owner: string(x.Owner), Standing: x.Standing.String()}
-	for _, n := range x.Noted {
+	for _, n := range x.Decisions {
 		answer.Decisions = append(answer.Decisions, operators.Decision{
 			AgeMS: time.Since(n.At).Milliseconds(), Event: string(n.Event), Target: n.Target,
 			Tier: n.Tier, TierName: i.views.tierName(n.Tier), Reason: string(n.Reason), Detail: n.Detail,
@@ -129,7 +129,7 @@
 func (i *inspector) Verdict(ctx context.Context, documentID string) (operators.Published, error) {
 	var result acceptance.Verdict
 	var known bool
-	read := func(e *entry.Entry) { result, known = e.DocumentVerdict(documentID) }
+	read := func(e *entry.Entry) { result, known = e.DocumentResult(documentID) }
 	if err := i.loop.Do(ctx, read); err != nil || !known {
 		return operators.Published{ID: documentID}, err
 	}
--- a/cmd/sycamore-replay/virtual.go
+++ b/cmd/sycamore-replay/virtual.go
@@ -82,7 +82,7 @@
 
 func checkPolicy(policy entry.Policy) error {
 	switch policy {
-	case entry.PolicyScheduler, entry.PolicyShares, entry.PolicyAlone:
+	case entry.PolicyScheduler, entry.PolicyShares, entry.PolicyIndependent:
 		return nil
 	}
 	return fmt.Errorf("unknown policy %q: scheduler, shares or alone", policy)
--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -154,7 +154,7 @@
 		return
 	}
 	for range callerGoneAttempts {
-		if w.s.cfg.Core.Submit(entry.CallerGone{ID: w.f.ID}) {
+		if w.s.cfg.Core.Submit(entry.CallerLeft{ID: w.f.ID}) {
 			return
 		}
 		time.Sleep(callerGoneRetryPause)
--- a/internal/callers/answering.go
+++ b/internal/callers/answering.go
@@ -81,7 +81,7 @@
 	if a.reported == a.open || a.view().State != message.Draining {
 		return
 	}
-	if a.core.Submit(entry.Answering{Open: a.open}) {
+	if a.core.Submit(entry.OpenAnswers{Open: a.open}) {
 		a.reported = a.open
 	}
 }
--- a/internal/callers/answering_test.go
+++ b/internal/callers/answering_test.go
@@ -20,7 +20,7 @@
 
 	// lastReported returns the count that was last reported to the core, or -1.
 	lastReported := func(n *node) int {
-		reported := all[entry.Answering](n.core)
+		reported := all[entry.OpenAnswers](n.core)
 		if len(reported) == 0 {
 			return -1
 		}
@@ -65,7 +65,7 @@
 		n.call("POST", "/v1/services/slots/reserve", "", nil)
 		n.core.mu.Lock()
 		defer n.core.mu.Unlock()
-		Expect(n.core.inputs[0]).To(Equal(entry.Answering{Open: 1}))
+		Expect(n.core.inputs[0]).To(Equal(entry.OpenAnswers{Open: 1}))
 		Expect(n.core.inputs[1]).To(BeAssignableToTypeOf(entry.Submit{}))
 	})
 })
--- a/internal/callers/failure_test.go
+++ b/internal/callers/failure_test.go
@@ -361,13 +361,13 @@
 		Expect(line).To(Equal("id: 0\n"))
 		Expect(resp.Body.Close()).To(Succeed())
 		Eventually(deleted).Should(Receive())
-		Eventually(func() []entry.CallerGone { return all[entry.CallerGone](n.core) }).Should(HaveLen(1))
+		Eventually(func() []entry.CallerLeft { return all[entry.CallerLeft](n.core) }).Should(HaveLen(1))
 	})
 })
 
 // cancelWhenGone makes the fake core cancel a run whose caller has disconnected.
 func cancelWhenGone(n *node) {
-	n.core.onGone = func(g entry.CallerGone) {
+	n.core.onGone = func(g entry.CallerLeft) {
 		n.targets.Cancel(entry.CancelRun{ID: g.ID, Status: outcome.Partial(outcome.ReasonCallerGone, "")})
 	}
 }
--- a/internal/callers/harness_test.go
+++ b/internal/callers/harness_test.go
@@ -75,7 +75,7 @@
 	full    bool
 	decide  func(entry.Submit)
 	onEnded func(entry.RunEnded)
-	onGone  func(entry.CallerGone)
+	onGone  func(entry.CallerLeft)
 }
 
 func (c *fakeCore) Submit(in entry.Input) bool {
@@ -92,7 +92,7 @@
 		decide(in)
 	case entry.RunEnded:
 		onEnded(in)
-	case entry.CallerGone:
+	case entry.CallerLeft:
 		if c.onGone != nil {
 			c.onGone(in)
 		}
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -136,7 +136,7 @@
 }
 
 // OrganisationByKey returns the organisation that has a key.
-func (c *Configuration) Holder(key string) (*Organisation, bool) {
+func (c *Configuration) OrganisationByKey(key string) (*Organisation, bool) {
 	organisation, found := c.byKey[key]
 	return organisation, found
 }
--- a/internal/core/dispatch/bench_test.go
+++ b/internal/core/dispatch/bench_test.go
@@ -21,7 +21,7 @@
 		load.Reading[target.ID] = 4000
 	}
 	for i := range 11 {
-		s.PeerLoad(start, fmt.Sprintf("peer-%d", i), load)
+		s.SetPeerLoad(start, fmt.Sprintf("peer-%d", i), load)
 	}
 	for i := range 50 {
 		request := ask(fmt.Sprint(i))
@@ -31,6 +31,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.PeerLoad(start.Add(time.Millisecond), "peer-0", load)
+		s.SetPeerLoad(start.Add(time.Millisecond), "peer-0", load)
 	}
 }
--- a/internal/core/dispatch/cell.go
+++ b/internal/core/dispatch/cell.go
@@ -40,7 +40,7 @@
 
 // CompareNames orders names by hash, so that all entries agree on an order that does not
 // depend on properties of instances.
-func Rank(a, b string) int {
+func CompareNames(a, b string) int {
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 }
 
@@ -48,7 +48,7 @@
 // into cells: by availability zone, then by name, both hashed so that the order does not
 // depend on properties of an instance. Cells have equal size and most of each is in one
 // zone, where traffic is free and latency is lower.
-func Place(zone, name string) uint64 {
+func CellKey(zone, name string) uint64 {
 	const low = 1<<32 - 1
 	return xxhash.Sum64String(zone)&^low | xxhash.Sum64String(name)&low
 }
--- a/internal/core/dispatch/dispatch.go
+++ b/internal/core/dispatch/dispatch.go
@@ -21,7 +21,7 @@
 )
 
 // Request describes a request to the scheduler.
-type Ask struct {
+type Request struct {
 	ID      string
 	Service string
 	// Class groups requests of similar duration, such as those of one route.
@@ -47,7 +47,7 @@
 
 // Ticket is a request between Submit and Done or Cancel.
 type Ticket struct {
-	Ask
+	Request
 	// sequence preserves the order of arrival among equals.
 	sequence uint64
 	target   *target
@@ -136,7 +136,7 @@
 	// the end; 0 means unknown.
 	First, Rest time.Duration
 	// LongestPause is the longest pause between two events of a stream.
-	Longest time.Duration
+	LongestPause time.Duration
 }
 
 // Effects are the results of a call: requests to send, requests to refuse, and changes
@@ -193,7 +193,7 @@
 		seen[incarnation] = true
 		known, found := s.targets[incarnation]
 		if !found {
-			known = &target{incarnation: incarnation, pool: s.pool(each.Service), cellKey: Place(each.Zone, incarnation)}
+			known = &target{incarnation: incarnation, pool: s.pool(each.Service), cellKey: CellKey(each.Zone, incarnation)}
 			s.restoreDeclarations(known)
 			s.targets[incarnation] = known
 			known.pool.targets = append(known.pool.targets, known)
@@ -234,9 +234,9 @@
 
 // Submit requests a slot. The ticket is granted, refused or queued; if it is queued,
 // later effects contain its grant or refusal.
-func (s *Scheduler) Submit(now time.Time, request Ask) (*Ticket, Effects) {
+func (s *Scheduler) Submit(now time.Time, request Request) (*Ticket, Effects) {
 	s.sequence++
-	ticket := &Ticket{Ask: request, sequence: s.sequence}
+	ticket := &Ticket{Request: request, sequence: s.sequence}
 	p := s.pool(request.Service)
 	p.schedule(ticket)
 	if refusal, refused := s.refuseAtOnce(now, p, ticket); refused {
@@ -276,8 +276,8 @@
 	ticket.target = nil
 	at.own--
 	at.learn(now, report)
-	if report.Latency > 0 || report.Longest > 0 {
-		s.recordSample(at, Sample{Target: at.incarnation, Latency: report.Latency, Longest: report.Longest})
+	if report.Latency > 0 || report.LongestPause > 0 {
+		s.recordSample(at, Sample{Target: at.incarnation, Latency: report.Latency, LongestPause: report.LongestPause})
 	}
 	at.pool.learn(ticket, at, now.Sub(ticket.granted), report)
 	at.releasedAt = now
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 // waiting is the report of an entry whose queue contains requests like those of ask.
 var waiting = map[string]dispatch.Urgency{service: dispatch.UrgencyOf(0, 0)}
 
-func ask(id string) dispatch.Ask {
-	return dispatch.Ask{ID: id, Service: service, Class: "c", Arrived: start, Objective: start.Add(800 * time.Millisecond), Expires: start.Add(8 * time.Second)}
+func ask(id string) dispatch.Request {
+	return dispatch.Request{ID: id, Service: service, Class: "c", Arrived: start, Objective: start.Add(800 * time.Millisecond), Expires: start.Add(8 * time.Second)}
 }
 
 func newScheduler(list []catalog.Target) *dispatch.Scheduler {
@@ -55,10 +55,10 @@
 func TestPeerLoadIsIncluded(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 2))
-	s.PeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 2}})
+	s.SetPeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 2}})
 	_, effects := s.Submit(start, ask("1"))
 	g.Expect(effects.Grants).To(BeEmpty())
-	effects = s.PeerLoad(start.Add(20*time.Millisecond), "other", dispatch.Load{})
+	effects = s.SetPeerLoad(start.Add(20*time.Millisecond), "other", dispatch.Load{})
 	g.Expect(effects.Grants).To(HaveLen(1))
 }
 
@@ -67,7 +67,7 @@
 func TestReportOfUnresponsivePeerExpires(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
-	s.PeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 1}})
+	s.SetPeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{"t-00": 1}})
 	request := ask("1")
 	request.Expires = start.Add(30 * time.Second)
 	_, effects := s.Submit(start, request)
@@ -226,10 +226,10 @@
 	for i := range cell {
 		cell[i] = dispatch.New(dispatch.Config{Name: names[i], Zone: "a"})
 		cell[i].SetTargets(start, targets(1, 1))
-		cell[i].PeerLoad(start, "fifth", full)
+		cell[i].SetPeerLoad(start, "fifth", full)
 		for _, other := range names {
 			if other != names[i] {
-				cell[i].PeerLoad(start, other, dispatch.Load{Waiting: waiting})
+				cell[i].SetPeerLoad(start, other, dispatch.Load{Waiting: waiting})
 			}
 		}
 		for j := range 2 {
@@ -244,10 +244,10 @@
 		for i, s := range cell {
 			for name, at := range reportedAt {
 				if name != names[i] && !now.Before(at) {
-					s.PeerLoad(now, name, full)
+					s.SetPeerLoad(now, name, full)
 				}
 			}
-			if grants := s.PeerLoad(now, "fifth", dispatch.Load{}).Grants; len(grants) > 0 {
+			if grants := s.SetPeerLoad(now, "fifth", dispatch.Load{}).Grants; len(grants) > 0 {
 				taken += len(grants)
 				reportedAt[names[i]] = now.Add(report)
 			}
@@ -263,7 +263,7 @@
 	s := dispatch.New(dispatch.Config{Name: "a", Zone: "a"})
 	s.SetTargets(start, targets(1, 1))
 	for _, other := range []string{"b", "c", "d", "e", "f"} {
-		s.PeerLoad(start, other, dispatch.Load{Waiting: waiting})
+		s.SetPeerLoad(start, other, dispatch.Load{Waiting: waiting})
 	}
 	s.Tick(start)
 	first, _ := s.Submit(start, ask("first"))
@@ -283,7 +283,7 @@
 	second := ask("second")
 	second.Rank = 1
 	s.Submit(start, second)
-	s.PeerLoad(start, "b", dispatch.Load{Waiting: map[string]dispatch.Urgency{service: dispatch.UrgencyOf(0, 0)}})
+	s.SetPeerLoad(start, "b", dispatch.Load{Waiting: map[string]dispatch.Urgency{service: dispatch.UrgencyOf(0, 0)}})
 	releasedAt := start.Add(200 * time.Millisecond)
 	g.Expect(s.Done(releasedAt, first, dispatch.Report{Outcome: dispatch.Answered}).Grants).To(BeEmpty())
 	g.Expect(s.Tick(releasedAt.Add(5 * time.Millisecond)).Grants).To(BeEmpty())
@@ -295,7 +295,7 @@
 func TestLateRequestsAreShedWhileHardlyAnyIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(targets(1, 1))
-	late := func(id string, at time.Time) dispatch.Ask {
+	late := func(id string, at time.Time) dispatch.Request {
 		a := ask(id)
 		a.Arrived, a.Objective, a.BeginBy, a.Expires = at, at.Add(400*time.Millisecond), at.Add(3*time.Second), at.Add(20*time.Second)
 		return a
--- a/internal/core/dispatch/fleet_test.go
+++ b/internal/core/dispatch/fleet_test.go
@@ -150,7 +150,7 @@
 	e := f.entries[f.random.IntN(len(f.entries))]
 	s := &stream{kind: k, entry: e, arrived: f.now, unread: f.size(k.prompt, k.spread), left: f.size(k.output, 1.5)}
 	f.all = append(f.all, s)
-	ask := dispatch.Ask{
+	ask := dispatch.Request{
 		ID: fmt.Sprint(len(f.all)), Service: service, Class: fmt.Sprint(k.rank), Rank: k.rank, Arrived: f.now,
 		Objective: f.now.Add(k.objective), BeginBy: f.now.Add(3200 * time.Millisecond), Expires: f.now.Add(k.timeout),
 		Gap: pauseLimit, Work: dispatch.Work{Prompt: s.unread, Output: int(float64(s.left) * math.Exp(0.5*f.random.NormFloat64()))},
@@ -181,7 +181,7 @@
 	f.after(reportDelay, func() {
 		for _, other := range f.entries {
 			if other != e {
-				f.apply(other, other.sched.PeerLoad(f.now, e.name, load))
+				f.apply(other, other.sched.SetPeerLoad(f.now, e.name, load))
 			}
 		}
 	})
@@ -248,7 +248,7 @@
 	}
 	s.done = true
 	s.at.running = slices.DeleteFunc(s.at.running, func(other *stream) bool { return other == s })
-	report := dispatch.Report{Outcome: dispatch.Answered, First: s.first.Sub(s.arrived), Rest: s.last.Sub(s.first), Longest: s.longest}
+	report := dispatch.Report{Outcome: dispatch.Answered, First: s.first.Sub(s.arrived), Rest: s.last.Sub(s.first), LongestPause: s.longest}
 	if events := s.generated / tokensPerEvent; events > 1 {
 		report.Latency = report.Rest / time.Duration(events)
 	}
--- a/internal/core/dispatch/incarnation_test.go
+++ b/internal/core/dispatch/incarnation_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	previous := catalog.Target{ID: "t-00", StartedMS: 1000, Service: service, Address: "10.0.0.1:80", Zone: "a", Slots: 2}
 	s := newScheduler([]catalog.Target{previous})
-	s.PeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{previous.Incarnation(): 1}})
+	s.SetPeerLoad(start, "other", dispatch.Load{InFlight: map[string]int{previous.Incarnation(): 1}})
 	first, effects := s.Submit(start, ask("1"))
 	g.Expect(effects.Grants).To(HaveLen(1))
 	s.Done(start, first, dispatch.Report{Outcome: dispatch.Broken})
--- a/internal/core/dispatch/limit_fleet_test.go
+++ b/internal/core/dispatch/limit_fleet_test.go
@@ -95,7 +95,7 @@
 		if r.isDue(r.now) {
 			r.due++
 		}
-		_, effects := r.sched[i].Submit(r.now, dispatch.Ask{
+		_, effects := r.sched[i].Submit(r.now, dispatch.Request{
 			ID: fmt.Sprint("r", r.sent), Service: service, Class: "c", Arrived: r.now,
 			Objective: r.now.Add(800 * time.Millisecond), Expires: r.now.Add(4 * time.Second),
 		})
@@ -153,7 +153,7 @@
 		if j == i || dispatch.CellOf(j, r.fleet.entries) != cell || r.random.Float64() < r.fleet.loss {
 			continue
 		}
-		r.after(reportDelay, func() { r.apply(j, r.sched[j].PeerLoad(r.now, fmt.Sprintf("e-%d", i), load)) })
+		r.after(reportDelay, func() { r.apply(j, r.sched[j].SetPeerLoad(r.now, fmt.Sprintf("e-%d", i), load)) })
 	}
 }
 
--- a/internal/core/dispatch/limit_test.go
+++ b/internal/core/dispatch/limit_test.go
@@ -59,8 +59,8 @@
 		report := dispatch.LimitReport{Limit: dispatch.Limit{Declared: true, PerSecond: 2}, Sent: sent}
 		return dispatch.Load{Limits: map[string]dispatch.LimitReport{"t-00": report}}
 	}
-	g.Expect(s.PeerLoad(start.Add(1100*time.Millisecond), "peer", peerLoad(7)).Grants).To(BeEmpty())
-	g.Expect(s.PeerLoad(free.Add(-10*time.Millisecond), "peer", peerLoad(9)).Grants).To(BeEmpty())
+	g.Expect(s.SetPeerLoad(start.Add(1100*time.Millisecond), "peer", peerLoad(7)).Grants).To(BeEmpty())
+	g.Expect(s.SetPeerLoad(free.Add(-10*time.Millisecond), "peer", peerLoad(9)).Grants).To(BeEmpty())
 	g.Expect(s.Tick(free.Add(100 * time.Millisecond)).Grants).To(BeEmpty())
 	g.Expect(s.Tick(free.Add(1100 * time.Millisecond)).Grants).To(HaveLen(1))
 }
@@ -90,7 +90,7 @@
 	s, free := limitedTarget(t)
 	for _, sent := range []int{1000, 0} {
 		report := dispatch.LimitReport{Limit: dispatch.Limit{Declared: true, PerSecond: 2}, Sent: sent}
-		s.PeerLoad(start.Add(1100*time.Millisecond), "peer", dispatch.Load{Limits: map[string]dispatch.LimitReport{"t-00": report, "unknown": report}})
+		s.SetPeerLoad(start.Add(1100*time.Millisecond), "peer", dispatch.Load{Limits: map[string]dispatch.LimitReport{"t-00": report, "unknown": report}})
 	}
 	g.Expect(s.Tick(free.Add(100 * time.Millisecond)).Grants).To(HaveLen(1))
 }
@@ -110,7 +110,7 @@
 			for i, e := range entries {
 				load := e.OwnLoad(now)
 				now = now.Add(delay)
-				entries[(i+1)%len(entries)].PeerLoad(now, fmt.Sprint(i), load)
+				entries[(i+1)%len(entries)].SetPeerLoad(now, fmt.Sprint(i), load)
 			}
 		}
 	}
--- a/internal/core/dispatch/load_test.go
+++ b/internal/core/dispatch/load_test.go
@@ -122,7 +122,7 @@
 	if w.sized {
 		work = dispatch.Work{Prompt: j.work.Prompt, Output: int(float64(j.work.Output) * math.Exp(0.5*w.random.NormFloat64()))}
 	}
-	ticket, effects := w.sched.Submit(w.now, dispatch.Ask{
+	ticket, effects := w.sched.Submit(w.now, dispatch.Request{
 		ID: j.id, Service: service, Class: "c", Rank: j.rank, Arrived: w.now, Work: work,
 		Objective: w.now.Add(800 * time.Millisecond), BeginBy: w.now.Add(3200 * time.Millisecond), Expires: w.now.Add(8 * time.Second),
 	})
--- a/internal/core/dispatch/peers.go
+++ b/internal/core/dispatch/peers.go
@@ -43,7 +43,7 @@
 const reportCheckInterval = turnDelay / 2
 
 // SetPeerLoad applies a peer's report, which replaces its previous one.
-func (s *Scheduler) PeerLoad(now time.Time, peer string, load Load) Effects {
+func (s *Scheduler) SetPeerLoad(now time.Time, peer string, load Load) Effects {
 	updated := &peerLoad{at: now, inFlight: load.InFlight, reading: load.Reading, waiting: load.Waiting}
 	if before, found := s.peers[peer]; found {
 		updated.sentUnderLimit = before.sentUnderLimit
@@ -58,7 +58,7 @@
 }
 
 // RemovePeer removes the report of a peer whose process, and therefore its requests, have ended.
-func (s *Scheduler) PeerGone(now time.Time, peer string) Effects {
+func (s *Scheduler) RemovePeer(now time.Time, peer string) Effects {
 	delete(s.peers, peer)
 	return s.Tick(now)
 }
--- a/internal/core/dispatch/sample.go
+++ b/internal/core/dispatch/sample.go
@@ -10,7 +10,7 @@
 	Target string
 	// TokenTime is the time to read a prompt token, Latency the mean pause between
 	// events, LongestPause the longest pause; 0 means not measured.
-	TokenTime, Latency, Longest time.Duration
+	TokenTime, Latency, LongestPause time.Duration
 }
 
 // maxSamples bounds the samples that wait to be reported: those of the time between two
@@ -43,7 +43,7 @@
 		t.readTime.add(float64(sample.TokenTime))
 		t.pool.rates.prompt.add(float64(sample.TokenTime) / t.slowness())
 	}
-	t.learnPause(sample.Longest)
+	t.learnPause(sample.LongestPause)
 }
 
 // ObserveLatency records the mean pause between the first events of a stream before it
--- a/internal/core/dispatch/services.go
+++ b/internal/core/dispatch/services.go
@@ -46,13 +46,13 @@
 
 // Outstanding returns the number of this entry's requests that are at a service's targets
 // or wait for one.
-func (s *Scheduler) Engaged(service string) int {
+func (s *Scheduler) Outstanding(service string) int {
 	p := s.pool(service)
 	return len(p.waiting) + p.ownRequests()
 }
 
 // HasFreeSlot reports whether a request for a service would get a slot at once.
-func (s *Scheduler) HasRoom(now time.Time, service string) bool {
+func (s *Scheduler) HasFreeSlot(now time.Time, service string) bool {
 	p := s.pool(service)
 	if len(p.waiting) > 0 {
 		return false
--- a/internal/core/dispatch/unresponsive_test.go
+++ b/internal/core/dispatch/unresponsive_test.go
@@ -52,7 +52,7 @@
 	for end := c.now.Add(length); c.now.Before(end); c.now = c.now.Add(time.Millisecond) {
 		for i := range c.entries {
 			if c.random.Float64() < 0.025 {
-				_, effects := c.entries[i].Submit(c.now, dispatch.Ask{
+				_, effects := c.entries[i].Submit(c.now, dispatch.Request{
 					ID: fmt.Sprint(c.random.Int64()), Service: service, Class: "plain", Arrived: c.now, Expires: c.now.Add(plainTimeout),
 				})
 				c.addPending(i, effects, hangs)
@@ -99,7 +99,7 @@
 		load := from.OwnLoad(c.now)
 		for j, to := range c.entries {
 			if j != i {
-				c.addPending(j, to.PeerLoad(c.now, fmt.Sprint(i), load), hangs)
+				c.addPending(j, to.SetPeerLoad(c.now, fmt.Sprint(i), load), hangs)
 			}
 		}
 	}
@@ -125,10 +125,10 @@
 	g := NewWithT(t)
 	c := newCellLoad()
 	report := dispatch.Load{Unresponsive: map[string]time.Duration{hanging: time.Second}}
-	c.entries[0].PeerLoad(c.now, "alone", report)
+	c.entries[0].SetPeerLoad(c.now, "alone", report)
 	seen := map[string]bool{}
 	for i := range 5 {
-		_, effects := c.entries[0].Submit(c.now, dispatch.Ask{ID: fmt.Sprint(i), Service: service, Arrived: c.now, Expires: c.now.Add(plainTimeout)})
+		_, effects := c.entries[0].Submit(c.now, dispatch.Request{ID: fmt.Sprint(i), Service: service, Arrived: c.now, Expires: c.now.Add(plainTimeout)})
 		seen[effects.Grants[0].Target.ID] = true
 	}
 	g.Expect(seen).To(HaveKey(hanging))
--- a/internal/core/dispatch/zones_test.go
+++ b/internal/core/dispatch/zones_test.go
@@ -46,7 +46,7 @@
 	var members []member
 	for zone, count := range counts {
 		for i := range count {
-			members = append(members, member{zone, dispatch.Place(zone, fmt.Sprint(kind, zone, i))})
+			members = append(members, member{zone, dispatch.CellKey(zone, fmt.Sprint(kind, zone, i))})
 		}
 	}
 	slices.SortFunc(members, func(a, b member) int {
--- a/internal/core/drain/drain.go
+++ b/internal/core/drain/drain.go
@@ -47,7 +47,7 @@
 type Config struct {
 	// PeerTimeout is how long a peer may continue to name this entry: the failure-detection
 	// timeout, after which a peer that did not receive the report does not name it either.
-	Settle time.Duration
+	PeerTimeout time.Duration
 	// AnswerTTL is how long an answer to "which entry" is valid.
 	AnswerTTL time.Duration
 	// Bound is the time after which what is still held is reported as overdue.
@@ -110,8 +110,8 @@
 }
 
 func (d *Drain) schedule() {
-	d.unnamedAt = later(d.unnamedAt, d.started.Add(d.cfg.Settle))
-	d.answersExpireAt = later(d.answersExpireAt, d.started.Add(d.cfg.Settle+d.cfg.AnswerTTL))
+	d.unnamedAt = later(d.unnamedAt, d.started.Add(d.cfg.PeerTimeout))
+	d.answersExpireAt = later(d.answersExpireAt, d.started.Add(d.cfg.PeerTimeout+d.cfg.AnswerTTL))
 }
 
 func later(a, b time.Time) time.Time {
@@ -146,7 +146,7 @@
 func (d *Drain) Schedules() bool { return d.stage == Serving }
 
 // AcceptsRequests reports whether new requests are accepted.
-func (d *Drain) Takes() bool { return d.stage <= Taking }
+func (d *Drain) AcceptsRequests() bool { return d.stage <= Taking }
 
 // Report returns the progress of the stop.
 func (d *Drain) Report(now time.Time) Report {
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-var cfg = drain.Config{Settle: time.Second, AnswerTTL: 5 * time.Second, Bound: 30 * time.Second}
+var cfg = drain.Config{PeerTimeout: time.Second, AnswerTTL: 5 * time.Second, Bound: 30 * time.Second}
 
 var _ = Describe("Drain", func() {
 	busy := drain.Held{InFlight: 1}
@@ -20,11 +20,11 @@
 		func(after time.Duration, held drain.Held, want drain.Stage, takes bool) {
 			d := drain.New(cfg)
 			Expect(d.Tick(start, held)).To(Equal(drain.Serving))
-			Expect(d.NamesSelf() && d.Schedules() && d.Takes()).To(BeTrue())
+			Expect(d.NamesSelf() && d.Schedules() && d.AcceptsRequests()).To(BeTrue())
 			d.Start(start)
 			Expect(d.Tick(start.Add(after), held)).To(Equal(want))
 			Expect(d.NamesSelf() || d.Schedules()).To(BeFalse())
-			Expect(d.Takes()).To(Equal(takes))
+			Expect(d.AcceptsRequests()).To(Equal(takes))
 		},
 		Entry("at once", time.Duration(0), drain.Held{}, drain.Leaving, true),
 		Entry("peers informed", time.Second, drain.Held{}, drain.Taking, true),
@@ -59,7 +59,7 @@
 		d.Configure(drain.Config{Bound: cfg.Bound})
 		d.Start(start.Add(3 * time.Second))
 		Expect(d.Tick(start.Add(5*time.Second), drain.Held{})).To(Equal(drain.Taking))
-		d.Configure(drain.Config{Settle: time.Second, AnswerTTL: 9 * time.Second})
+		d.Configure(drain.Config{PeerTimeout: time.Second, AnswerTTL: 9 * time.Second})
 		Expect(d.Tick(start.Add(9*time.Second), drain.Held{})).To(Equal(drain.Taking))
 		Expect(d.Tick(start.Add(10*time.Second), drain.Held{})).To(Equal(drain.Drained))
 	})
--- a/internal/core/entry/documents.go
+++ b/internal/core/entry/documents.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// DocumentVerdict returns the result of checking a published document, if its
+// DocumentResult returns the result of checking a published document, if its
 // record was read.
-func (e *Entry) DocumentVerdict(id string) (acceptance.Verdict, bool) {
+func (e *Entry) DocumentResult(id string) (acceptance.Verdict, bool) {
 	for _, v := range e.documentResults {
 		if v.DocumentID == id && v.Kind != acceptance.Duplicate {
 			return v, true
--- a/internal/core/entry/drain_test.go
+++ b/internal/core/entry/drain_test.go
@@ -31,11 +31,11 @@
 	l := newSingleEntry(testDocument("first", 0))
 	run := dispatched(l.submit(1, longDeadline))[0]
 	l.step(DrainStart{})
-	l.step(Answering{Open: 1})
+	l.step(OpenAnswers{Open: 1})
 	l.step(RunEnded{ID: run.ID, Result: message.ResultComplete, Wrote: true})
 	Expect(l.drainFor(time.Minute)).To(BeFalse())
 	Expect(l.flights).To(BeEmpty())
 	Expect(l.stillHeld().Answers).To(Equal(1))
-	l.step(Answering{})
+	l.step(OpenAnswers{})
 	Expect(l.drainFor(time.Second)).To(BeTrue())
 })
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -33,9 +33,9 @@
 	// PolicyShares gives each entry a fixed share of each target. Baseline for
 	// comparison.
 	PolicyShares Policy = "shares"
-	// PolicyAlone lets each entry decide independently on stale load reports,
+	// PolicyIndependent lets each entry decide independently on stale load reports,
 	// taking the better of two random targets. Baseline for comparison.
-	PolicyAlone Policy = "alone"
+	PolicyIndependent Policy = "alone"
 )
 
 // inputValidity is the longest time a request may wait between its arrival and
@@ -195,7 +195,7 @@
 	switch in := in.(type) {
 	case Submit:
 		e.submit(in.Request)
-	case CallerGone:
+	case CallerLeft:
 		e.callerLeft(in.ID)
 	case PeerUp:
 		e.members.Up(e.now, in.Member)
@@ -224,7 +224,7 @@
 		e.instances(in)
 	case OrderDone:
 		e.performOrders(e.orders.OrderDone(e.now, in.Target, in.Refused, in.Failed))
-	case Answering:
+	case OpenAnswers:
 		e.openAnswers = in.Open
 	case DrainStart:
 		e.drain.Configure(e.drainConfig())
--- a/internal/core/entry/fakes_test.go
+++ b/internal/core/entry/fakes_test.go
@@ -290,7 +290,7 @@
 		if e := n.edge(c.id); slices.Contains(e.waiters, c) {
 			e.waiters = slices.DeleteFunc(e.waiters, func(other *call) bool { return other == c })
 			if len(e.waiters) == 0 {
-				n.input(CallerGone{ID: c.id})
+				n.input(CallerLeft{ID: c.id})
 			}
 		}
 	})
--- a/internal/core/entry/fields_test.go
+++ b/internal/core/entry/fields_test.go
@@ -211,7 +211,7 @@
 
 // overdue reports whether a drain that is held up is overdue after d.
 func overdue(l *singleEntry, d time.Duration) any {
-	l.step(Answering{Open: 1})
+	l.step(OpenAnswers{Open: 1})
 	l.step(DrainStart{})
 	l.pass(d)
 	return l.drain.Report(l.now).Overdue
--- a/internal/core/entry/inspect.go
+++ b/internal/core/entry/inspect.go
@@ -45,11 +45,11 @@
 	// Here is true if this entry schedules the target; then View is exact.
 	// Otherwise Digest is the latest one that the scheduler sent, and Heard is
 	// true if there is one.
-	Here    bool
-	View    scheduler.TargetView
-	Digest  message.Digest
-	Heard   bool
-	Leaving bool
+	Here      bool
+	View      scheduler.TargetView
+	Digest    message.Digest
+	HasDigest bool
+	Leaving   bool
 }
 
 // Targets lists all targets in the order of the document.
@@ -80,7 +80,7 @@
 		s := TargetStatus{Name: t.Name, Pool: t.Pool, Class: t.Class, Zone: t.Zone, Scheduler: e.schedulerOf(t.Name)}
 		s.SchedulerName = memberNames[s.Scheduler]
 		s.View, s.Here = views[t.Name], s.Scheduler == e.cfg.Self.Incarnation
-		s.Digest, s.Heard = digests[t.Name]
+		s.Digest, s.HasDigest = digests[t.Name]
 		s.Leaving = t.Leaving || e.leaving(t.Name)
 		list = append(list, s)
 	}
@@ -122,10 +122,10 @@
 // Explanation holds what an entry remembers of a request.
 type Explanation struct {
 	// Known is true if this entry tracks or tracked the request.
-	Known    bool
-	Owner    ident.Incarnation
-	Standing message.Standing
-	Noted    []TimedDecision
+	Known     bool
+	Owner     ident.Incarnation
+	Standing  message.Standing
+	Decisions []TimedDecision
 }
 
 // Explain returns the decisions on a request with their reasons.
@@ -136,7 +136,7 @@
 	}
 	state := e.stateOf(id)
 	x.Standing = state.Standing
-	x.Noted = e.journal.decisionsOn(id)
-	x.Known = len(x.Noted) > 0 || state.Standing != message.StandingExpired
+	x.Decisions = e.journal.decisionsOn(id)
+	x.Known = len(x.Decisions) > 0 || state.Standing != message.StandingExpired
 	return x
 }
--- a/internal/core/entry/io.go
+++ b/internal/core/entry/io.go
@@ -25,9 +25,9 @@
 	Request request.Request
 }
 
-// CallerGone reports that the last caller waiting for the request has
+// CallerLeft reports that the last caller waiting for the request has
 // disconnected.
-type CallerGone struct{ ID ident.RequestID }
+type CallerLeft struct{ ID ident.RequestID }
 
 // PeerUp reports that a link to a peer is established, and the peer's identity.
 type PeerUp struct{ Member message.Member }
@@ -133,10 +133,10 @@
 	Failed bool
 }
 
-// Answering reports the number of answers that have not been fully sent to
+// OpenAnswers reports the number of answers that have not been fully sent to
 // their callers. A drain waits for them. After Drained the edges need not
 // report it any more.
-type Answering struct{ Open int }
+type OpenAnswers struct{ Open int }
 
 // DrainStart requests a planned stop, from an operator or by SIGTERM.
 type DrainStart struct{}
@@ -145,7 +145,7 @@
 type Tick struct{}
 
 func (Submit) input()       {}
-func (CallerGone) input()   {}
+func (CallerLeft) input()   {}
 func (PeerUp) input()       {}
 func (PeerDown) input()     {}
 func (FromPeer) input()     {}
@@ -159,7 +159,7 @@
 func (LogDown) input()      {}
 func (InstanceList) input() {}
 func (OrderDone) input()    {}
-func (Answering) input()    {}
+func (OpenAnswers) input()  {}
 func (DrainStart) input()   {}
 func (Tick) input()         {}
 
--- a/internal/core/entry/lifecycle.go
+++ b/internal/core/entry/lifecycle.go
@@ -10,10 +10,10 @@
 
 // drainConfig returns the times of a planned stop from the document in force.
 func (e *Entry) drainConfig() drain.Config {
-	cfg := drain.Config{Settle: e.timing.silence, AnswerTTL: startingPeriod, Bound: startingDrain}
+	cfg := drain.Config{PeerTimeout: e.timing.silence, AnswerTTL: startingPeriod, Bound: startingDrain}
 	if e.members != nil {
 		// It grows with the number of members.
-		cfg.Settle = e.members.Silence()
+		cfg.PeerTimeout = e.members.Silence()
 	}
 	if e.doc != nil {
 		cfg.AnswerTTL = document.Milliseconds(e.doc.Shutdown.EntriesTTLMS)
--- a/internal/core/entry/members.go
+++ b/internal/core/entry/members.go
@@ -84,7 +84,7 @@
 	case membership.Paused:
 		e.resumed()
 	case membership.MemberLost, membership.MemberReplaced, membership.MemberRemoved:
-		e.perform(e.scheduler.PeerGone(e.now, c.Member.Incarnation), fromScheduler)
+		e.perform(e.scheduler.PeerTerminated(e.now, c.Member.Incarnation), fromScheduler)
 	}
 }
 
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -100,7 +100,7 @@
 
 func (e *Entry) choose(f *flight) (string, routing.Status) {
 	exclude := func(target string) bool { return f.hasTried(target) }
-	if e.cfg.Policy == PolicyAlone {
+	if e.cfg.Policy == PolicyIndependent {
 		return e.router.TwoChoices(e.now, &f.req, exclude)
 	}
 	return e.router.Choose(e.now, &f.req, exclude)
--- a/internal/core/entry/rebalance.go
+++ b/internal/core/entry/rebalance.go
@@ -55,9 +55,9 @@
 	e.performOrders(e.orders.SetHeld(e.now, names(held)))
 	share := 1 / float64(max(live, 1))
 	for i := range all {
-		e.shareScheduler.Scale(all[i].Name, share)
+		e.shareScheduler.SetLimitShare(all[i].Name, share)
 		if e.cfg.Policy == PolicyShares {
-			e.scheduler.Scale(all[i].Name, share)
+			e.scheduler.SetLimitShare(all[i].Name, share)
 		}
 		e.updateAvailability(all[i].Name)
 	}
--- a/internal/core/entry/requests.go
+++ b/internal/core/entry/requests.go
@@ -126,7 +126,7 @@
 		// decided, so refusing is safe, and the caller may have left long ago.
 		return outcome.Refused(outcome.ReasonProcessPaused, retrySoon, "the entry was paused; send again"), false
 	}
-	if !e.drain.Takes() {
+	if !e.drain.AcceptsRequests() {
 		return outcome.Refused(outcome.ReasonDraining, retrySoon, "the entry is stopping; ask which to use"), false
 	}
 	if e.doc == nil || e.state == message.Starting || e.state == message.Stopped {
--- a/internal/core/entry/targets.go
+++ b/internal/core/entry/targets.go
@@ -191,8 +191,8 @@
 	}
 	return scheduler.Settings{
 		QueuePerTarget: doc.Limits.QueuePerTarget,
-		Grant:          e.timing.grant, Floor: e.timing.floor, Silence: e.timing.silence,
-		Early: doc.Refusal.Early, Preempt: doc.Refusal.Preempt,
+		GrantTime:      e.timing.grant, FloorTime: e.timing.floor, FailureTimeout: e.timing.silence,
+		RefuseEarly: doc.Refusal.Early, Preempt: doc.Refusal.Preempt,
 		ShortPromptTokens: doc.Refusal.ShortPromptTokens, ShortShare: doc.Refusal.ShortShare,
 		PrefillBudget: doc.Refusal.PrefillBudget,
 		RetryMin:      document.Milliseconds(doc.Refusal.RetryAfterMinMS),
--- a/internal/core/peerset/cells.go
+++ b/internal/core/peerset/cells.go
@@ -42,7 +42,7 @@
 	}
 	c := Cells{Entries: len(serving) + 1}
 	c.Count = dispatch.Cells(c.Entries)
-	own := positionAmong(serving, dispatch.Place(s.self.Zone, s.self.Name))
+	own := positionAmong(serving, dispatch.CellKey(s.self.Zone, s.self.Name))
 	c.Own = dispatch.CellOf(own, c.Entries)
 	ahead := 0
 	for i, m := range serving {
--- a/internal/core/peerset/peerset.go
+++ b/internal/core/peerset/peerset.go
@@ -132,7 +132,7 @@
 
 // add adds a member without contact.
 func (s *Set) add(entry Entry) *Member {
-	m := &Member{Entry: entry, position: dispatch.Place(entry.Zone, entry.Name)}
+	m := &Member{Entry: entry, position: dispatch.CellKey(entry.Zone, entry.Name)}
 	s.members[entry.Name] = m
 	at, _ := slices.BinarySearchFunc(s.order, m, compareMembers)
 	s.order = slices.Insert(s.order, at, m)
--- a/internal/core/register/register.go
+++ b/internal/core/register/register.go
@@ -72,7 +72,7 @@
 // MarkLeaving records a target's announcement that it leaves, which no registration revokes:
 // during an outage of the store the register shows the target as ready. It reports whether
 // the announcement is new.
-func (r *Register) Depart(target catalog.Target) bool {
+func (r *Register) MarkLeaving(target catalog.Target) bool {
 	incarnation := target.Incarnation()
 	if r.departed.Get(incarnation) {
 		return false
@@ -88,7 +88,7 @@
 // SetRestored records that the store was restored from an older copy, which ends at an offset.
 // The known state of targets that are leaving or have ended overrides the registrations of
 // the copy, since it may have been written in the seconds that are lost.
-func (r *Register) Restore(end int64) {
+func (r *Register) SetRestored(end int64) {
 	r.restoredEnd = end
 	for _, target := range r.targets {
 		if target.Leaving {
@@ -100,7 +100,7 @@
 // IsStale reports whether a registration is from the copy that the store was restored from
 // and is of a target that is known to have ended. If the target registers again, it is
 // accepted.
-func (r *Register) Outdated(target catalog.Target, offset int64) bool {
+func (r *Register) IsStale(target catalog.Target, offset int64) bool {
 	return offset < r.restoredEnd && r.ended.Get(target.Incarnation())
 }
 
@@ -145,7 +145,7 @@
 }
 
 // IsMassExpiry reports whether so many targets dropped at once have most likely expired.
-func (r *Register) Lapse(dropped int) bool {
+func (r *Register) IsMassExpiry(dropped int) bool {
 	return dropped > 1 && float64(dropped) >= massExpiryShare*float64(len(r.targets))
 }
 
--- a/internal/core/register/register_test.go
+++ b/internal/core/register/register_test.go
@@ -62,9 +62,9 @@
 func TestFewDropsAreNotTreatedAsOutage(t *testing.T) {
 	g := NewWithT(t)
 	r := filled(9)
-	g.Expect(r.Lapse(4)).To(BeFalse())
-	g.Expect(r.Lapse(6)).To(BeTrue())
-	g.Expect(filled(1).Lapse(1)).To(BeFalse(), "a single target that leaves is not an outage")
+	g.Expect(r.IsMassExpiry(4)).To(BeFalse())
+	g.Expect(r.IsMassExpiry(6)).To(BeTrue())
+	g.Expect(filled(1).IsMassExpiry(1)).To(BeFalse(), "a single target that leaves is not an outage")
 }
 
 func TestMissing(t *testing.T) {
@@ -118,8 +118,8 @@
 	r := register.New()
 	target := catalog.Target{ID: "t-1", Service: "desk", Slots: 4, StartedMS: 5}
 	r.Put(target)
-	g.Expect(r.Depart(target)).To(BeTrue())
-	g.Expect(r.Depart(target)).To(BeFalse())
+	g.Expect(r.MarkLeaving(target)).To(BeTrue())
+	g.Expect(r.MarkLeaving(target)).To(BeFalse())
 	leaves := func() bool {
 		known, _ := r.Get(target.ID)
 		return known.Leaving && r.Targets()[0].Leaving
@@ -144,15 +144,15 @@
 	leaving, ended := catalog.Target{ID: "t-0", Leaving: true}, catalog.Target{ID: "t-1"}
 	r.Put(leaving)
 	r.Drop(now, ended.ID, time.Time{})
-	g.Expect(r.Outdated(ended, 5)).To(BeFalse(), "the store was not restored")
-	r.Restore(10)
+	g.Expect(r.IsStale(ended, 5)).To(BeFalse(), "the store was not restored")
+	r.SetRestored(10)
 	leaving.Leaving = false
 	r.Put(leaving)
 	known, _ := r.Get(leaving.ID)
 	g.Expect(known.Leaving).To(BeTrue())
-	g.Expect(r.Outdated(ended, 9)).To(BeTrue())
-	g.Expect(r.Outdated(ended, 10)).To(BeFalse(), "written again")
+	g.Expect(r.IsStale(ended, 9)).To(BeTrue())
+	g.Expect(r.IsStale(ended, 10)).To(BeFalse(), "written again")
 	r.Put(ended)
-	g.Expect(r.Outdated(ended, 9)).To(BeFalse(), "it registered again")
-	g.Expect(r.Outdated(catalog.Target{ID: "t-2"}, 9)).To(BeFalse())
+	g.Expect(r.IsStale(ended, 9)).To(BeFalse(), "it registered again")
+	g.Expect(r.IsStale(catalog.Target{ID: "t-2"}, 9)).To(BeFalse())
 }
--- a/internal/core/rollout/tracker.go
+++ b/internal/core/rollout/tracker.go
@@ -305,7 +305,7 @@
 func (t *Tracker) selectCanary(newTargets []catalog.Target) []catalog.Target {
 	newTargets = slices.DeleteFunc(slices.Clone(newTargets), func(target catalog.Target) bool { return target.Leaving })
 	slices.SortFunc(newTargets, func(a, b catalog.Target) int {
-		return dispatch.Rank(a.Incarnation(), b.Incarnation())
+		return dispatch.CompareNames(a.Incarnation(), b.Incarnation())
 	})
 	n := int(math.Ceil(canaryShare * t.bounds.ExposureShare * float64(t.oldTargets)))
 	n = min(len(newTargets), max(1, n))
--- a/internal/core/scheduler/bench_test.go
+++ b/internal/core/scheduler/bench_test.go
@@ -11,8 +11,8 @@
 )
 
 func benchSettings() Settings {
-	return Settings{QueuePerTarget: 20000, Grant: 300 * time.Millisecond, Floor: 500 * time.Millisecond,
-		Silence: time.Second, Early: true, Preempt: true, ShortPromptTokens: 512, ShortShare: 0.25,
+	return Settings{QueuePerTarget: 20000, GrantTime: 300 * time.Millisecond, FloorTime: 500 * time.Millisecond,
+		FailureTimeout: time.Second, RefuseEarly: true, Preempt: true, ShortPromptTokens: 512, ShortShare: 0.25,
 		PrefillBudget: 1 << 20, RetryMin: 100 * time.Millisecond, RetryMax: 10 * time.Second, Tiers: 4}
 }
 
--- a/internal/core/scheduler/capacity.go
+++ b/internal/core/scheduler/capacity.go
@@ -73,7 +73,7 @@
 		return capacityNone
 	}
 	o := s.newOffer(t, s.self, need)
-	if s.settings.Early && o.Due.Before(s.now) || !s.admissible(o) {
+	if s.settings.RefuseEarly && o.Due.Before(s.now) || !s.admissible(o) {
 		return capacityNone
 	}
 	expected := t.expectedCount(o.Tier)
--- a/internal/core/scheduler/estimate.go
+++ b/internal/core/scheduler/estimate.go
@@ -67,14 +67,14 @@
 // missesDeadline reports whether an offer that starts after wait misses one of
 // its deadlines.
 func (t *target) missesDeadline(o *offer, wait time.Duration) bool {
-	if !t.settings.Early {
+	if !t.settings.RefuseEarly {
 		return false
 	}
 	return t.missesDeadlineWith(o, wait, t.loadAfter(wait))
 }
 
 func (t *target) missesDeadlineWith(o *offer, wait time.Duration, l load) bool {
-	if !t.settings.Early {
+	if !t.settings.RefuseEarly {
 		return false
 	}
 	start := t.clock.Add(wait)
--- a/internal/core/scheduler/holding.go
+++ b/internal/core/scheduler/holding.go
@@ -129,7 +129,7 @@
 
 // tripTime is the time allowed for an offer to reach another target, and for the
 // end of a run that is cancelled there for it.
-func (s *Settings) tripTime() time.Duration { return s.Grant / tripDivisor }
+func (s *Settings) tripTime() time.Duration { return s.GrantTime / tripDivisor }
 
 // tripDivisor divides the grant time, which covers several trips.
 const tripDivisor = 4
--- a/internal/core/scheduler/invariants_test.go
+++ b/internal/core/scheduler/invariants_test.go
@@ -78,7 +78,7 @@
 // unless it was recently redirected to capacity found for it.
 func (w *world) checkDeadlineRefusal(m message.Refuse) {
 	c := w.requests[m.ID]
-	if c.slack < w.set.Silence+4*maxDelay || w.now.Sub(c.redirected) <= 3*maxDelay {
+	if c.slack < w.set.FailureTimeout+4*maxDelay || w.now.Sub(c.redirected) <= 3*maxDelay {
 		return
 	}
 	w.stats["too late"]++
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -191,7 +191,7 @@
 		s.refuse(o, refusal{reason: outcome.ReasonNoTarget})
 	case o.msg.Remaining <= 0:
 		s.refuse(o, refusal{reason: outcome.ReasonDeadlinePassed, settled: true})
-	case s.settings.Early && o.Due.Before(s.now):
+	case s.settings.RefuseEarly && o.Due.Before(s.now):
 		// Not even an idle target could meet the deadline, so a floor would not help.
 		s.refuse(o, refusal{reason: outcome.ReasonDeadline, settled: o.final})
 	case !s.quorum && o.Tier > topTier:
@@ -236,7 +236,7 @@
 	if o.expired {
 		return o.expiredUntil
 	}
-	if s.settings.Early {
+	if s.settings.RefuseEarly {
 		return o.Due
 	}
 	return o.deadline
@@ -253,14 +253,14 @@
 // before the offer expires.
 func (o *offer) preemptAt(s *Scheduler) time.Time {
 	end := o.expiresAt(s)
-	return end.Add(-min(s.settings.Grant, end.Sub(o.arrived)/2))
+	return end.Add(-min(s.settings.GrantTime, end.Sub(o.arrived)/2))
 }
 
 // expensivePreemptAt returns when to cancel even a run that has computed more
 // tokens than the offer requests.
 func (o *offer) expensivePreemptAt(s *Scheduler) time.Time {
 	end := o.expiresAt(s)
-	return end.Add(-max(s.settings.tripTime(), min(s.settings.Grant, end.Sub(o.arrived)/8)))
+	return end.Add(-max(s.settings.tripTime(), min(s.settings.GrantTime, end.Sub(o.arrived)/8)))
 }
 
 func (o *offer) nextTimer(s *Scheduler) time.Time {
@@ -272,7 +272,7 @@
 		next = earliest(next, o.exchangeAt(s))
 	}
 	if o.from != s.self {
-		next = earliest(next, o.refreshed.Add(s.settings.Silence))
+		next = earliest(next, o.refreshed.Add(s.settings.FailureTimeout))
 	}
 	return next
 }
@@ -291,7 +291,7 @@
 	switch {
 	case o.removed:
 		return time.Time{}
-	case o.from != s.self && s.now.Sub(o.refreshed) >= s.settings.Silence:
+	case o.from != s.self && s.now.Sub(o.refreshed) >= s.settings.FailureTimeout:
 		// Its owner does not refresh it: the owner has terminated, is partitioned or
 		// has lost the offer. A slot granted to it would stay empty until the grant
 		// expires.
@@ -368,7 +368,7 @@
 // between entries. A request redirected with less time left could expire on
 // its way before any scheduler had checked whether lower work is served instead.
 func (s *Scheduler) isFinal(o *offer) bool {
-	if o.expiresAt(s).Sub(s.now) <= s.settings.Grant {
+	if o.expiresAt(s).Sub(s.now) <= s.settings.GrantTime {
 		o.final = true
 	}
 	return o.final
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -15,7 +15,7 @@
 }
 
 func (o *offer) completableLate(s *Scheduler) bool {
-	return !o.firstTokenBy.IsZero() && o.latestCompleteStart().After(s.now.Add(s.settings.Grant))
+	return !o.firstTokenBy.IsZero() && o.latestCompleteStart().After(s.now.Add(s.settings.GrantTime))
 }
 
 // latestCompleteStart returns the latest start for a complete answer by the
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -81,7 +81,7 @@
 	}
 	w.schedulers["a"].SetTargets(w.now, w.targets("t", "v"))
 	w.schedulers["b"].SetTargets(w.now, w.targets("u"))
-	w.pass(w.set.Silence + w.set.Floor)
+	w.pass(w.set.FailureTimeout + w.set.FloorTime)
 	return w
 }
 
@@ -257,7 +257,7 @@
 			runs[assigned] = append(runs[assigned], message.RunningOne{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
 		case c.answered == "" && !c.offered:
 			w.offer(c, c.offer.Target, c.offer.Final)
-		case c.answered == "" && w.now.Sub(c.lastSent) >= w.set.Grant/2:
+		case c.answered == "" && w.now.Sub(c.lastSent) >= w.set.GrantTime/2:
 			w.refresh(c)
 		}
 	}
--- a/internal/core/scheduler/report.go
+++ b/internal/core/scheduler/report.go
@@ -29,7 +29,7 @@
 		b.reports = make(map[ident.RequestID]bufferedReport)
 	}
 	if len(b.reports) >= maxBufferedRuns {
-		b.drop(func(r bufferedReport) bool { return s.now.Sub(r.at) > s.settings.Silence })
+		b.drop(func(r bufferedReport) bool { return s.now.Sub(r.at) > s.settings.FailureTimeout })
 	}
 	if len(b.reports) < maxBufferedRuns {
 		b.reports[one.Offer.ID] = bufferedReport{from: from, at: s.now, run: one}
@@ -57,7 +57,7 @@
 			continue
 		}
 		delete(b.reports, id)
-		if age := s.now.Sub(r.at); age <= s.settings.Silence {
+		if age := s.now.Sub(r.at); age <= s.settings.FailureTimeout {
 			r.run.Age += age
 			r.run.Offer.Remaining -= age
 			s.reportOne(t, r.from, r.run)
@@ -91,7 +91,7 @@
 		s.remove(o)
 	}
 	r := t.runs[one.Offer.ID]
-	if r == nil && t.endedRuns.contains(s.now, one.Offer.ID, s.settings.Silence) {
+	if r == nil && t.endedRuns.contains(s.now, one.Offer.ID, s.settings.FailureTimeout) {
 		return
 	}
 	if r == nil {
@@ -108,7 +108,7 @@
 		t.endPrefill(r)
 	}
 	s.timers.set(r, r.nextTimer(s))
-	if r.preempting && s.now.Sub(r.preemptedAt) > s.settings.Grant {
+	if r.preempting && s.now.Sub(r.preemptedAt) > s.settings.GrantTime {
 		// The first Preempt was lost, or the owner has not cancelled the run yet.
 		s.sendPreempt(r)
 	}
--- a/internal/core/scheduler/reportstate.go
+++ b/internal/core/scheduler/reportstate.go
@@ -33,7 +33,7 @@
 // it was assigned to this scheduler.
 func (e fullReportBuffer) apply(s *Scheduler, t *target) {
 	for key, at := range e {
-		if s.now.Sub(at) > s.settings.Silence {
+		if s.now.Sub(at) > s.settings.FailureTimeout {
 			delete(e, key)
 			continue
 		}
--- a/internal/core/scheduler/run.go
+++ b/internal/core/scheduler/run.go
@@ -130,8 +130,8 @@
 // than at the owner, by the transit time and by a margin for the report of a
 // grant that was used at the last moment.
 func (s *Scheduler) sendGrant(r *run, refreshed time.Time) {
-	valid := s.now.Sub(refreshed) + s.settings.Grant
-	r.grantExpiry = s.now.Add(2 * s.settings.Grant)
+	valid := s.now.Sub(refreshed) + s.settings.GrantTime
+	r.grantExpiry = s.now.Add(2 * s.settings.GrantTime)
 	s.timers.set(r, r.nextTimer(s))
 	s.send(r.from, message.Grant{Ask: r.offer.Ask, ID: r.offer.ID, Target: r.offer.Target, Valid: valid})
 }
@@ -194,7 +194,7 @@
 // its deadline, at which its owner cancels it, plus the failure-detection
 // timeout in case its Done is lost.
 func (r *run) nextTimer(s *Scheduler) time.Time {
-	next := r.deadline.Add(s.settings.Silence)
+	next := r.deadline.Add(s.settings.FailureTimeout)
 	switch {
 	case !r.reported:
 		next = r.grantExpiry
@@ -231,7 +231,7 @@
 	if t == nil {
 		return s.takeEffects()
 	}
-	t.endedRuns.end(s.now, d.ID, s.settings.Silence)
+	t.endedRuns.end(s.now, d.ID, s.settings.FailureTimeout)
 	if r := t.runs[d.ID]; r != nil && r.from == from {
 		s.learn(t, r, d)
 		t.endRun(r)
@@ -266,10 +266,10 @@
 	}
 }
 
-// PeerGone handles the end of an entry's process. Its offers are removed, its
+// PeerTerminated handles the end of an entry's process. Its offers are removed, its
 // unused grants expire, and its runs, which continue at the targets, count until
 // their expected end.
-func (s *Scheduler) PeerGone(now time.Time, from ident.Incarnation) []Effect {
+func (s *Scheduler) PeerTerminated(now time.Time, from ident.Incarnation) []Effect {
 	s.advance(now)
 	s.reports.dropFrom(from)
 	for _, name := range sortedKeys(s.targets) {
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -47,12 +47,12 @@
 type Settings struct {
 	// QueuePerTarget bounds the offers that wait at one target.
 	QueuePerTarget int
-	// Grant is how long a grant is valid, Floor how long a floor is in force,
-	// Silence the failure-detection timeout of a peer.
-	Grant, Floor, Silence time.Duration
-	// Early enables the immediate refusal of requests that by estimate cannot
+	// GrantTime is how long a grant is valid, FloorTime how long a floor is in force,
+	// FailureTimeout the failure-detection timeout of a peer.
+	GrantTime, FloorTime, FailureTimeout time.Duration
+	// RefuseEarly enables the immediate refusal of requests that by estimate cannot
 	// meet their deadlines.
-	Early bool
+	RefuseEarly bool
 	// Preempt enables the cancellation of idempotent runs of lower tiers at
 	// engines for work of higher tiers.
 	Preempt bool
@@ -154,7 +154,7 @@
 func (s *Scheduler) Configure(now time.Time, set Settings) {
 	s.advance(now)
 	s.settings = set
-	s.floors.Configure(set.Floor, set.Silence, set.Tiers)
+	s.floors.Configure(set.FloorTime, set.FailureTimeout, set.Tiers)
 }
 
 // SetMembers sets the members whose Running reports a takeover waits for.
@@ -212,7 +212,7 @@
 	for _, r := range t.sortedRuns() {
 		t.endRun(r)
 	}
-	s.handedOverUntil[t.desc.Pool] = s.now.Add(s.settings.Silence)
+	s.handedOverUntil[t.desc.Pool] = s.now.Add(s.settings.FailureTimeout)
 	delete(s.targets, t.desc.Name)
 }
 
@@ -239,10 +239,10 @@
 	s.quorum = ok
 }
 
-// Scale restricts a target to a fixed share of its limit, at least one slot. It
+// SetLimitShare restricts a target to a fixed share of its limit, at least one slot. It
 // is for policies without a scheduler and for entries that lost contact with
 // the scheduler. 1 is the full limit.
-func (s *Scheduler) Scale(name string, share float64) {
+func (s *Scheduler) SetLimitShare(name string, share float64) {
 	if t := s.targets[name]; t != nil {
 		t.limitShare = share
 	}
--- a/internal/core/scheduler/script_test.go
+++ b/internal/core/scheduler/script_test.go
@@ -38,8 +38,8 @@
 
 func testSettings() Settings {
 	return Settings{
-		QueuePerTarget: 2, Grant: 100 * time.Millisecond, Floor: 400 * time.Millisecond, Silence: 300 * time.Millisecond,
-		Early: true, Preempt: true, ShortPromptTokens: 500, ShortShare: 0.5,
+		QueuePerTarget: 2, GrantTime: 100 * time.Millisecond, FloorTime: 400 * time.Millisecond, FailureTimeout: 300 * time.Millisecond,
+		RefuseEarly: true, Preempt: true, ShortPromptTokens: 500, ShortShare: 0.5,
 		RetryMin: 50 * time.Millisecond, RetryMax: 5 * time.Second, Tiers: 4,
 	}
 }
@@ -60,7 +60,7 @@
 		s.SetTargets(c.now, parseTargets(targets))
 		c.schedulers[c.names[i]] = s
 	}
-	c.wait(set.Silence + set.Floor)
+	c.wait(set.FailureTimeout + set.FloorTime)
 	return c
 }
 
@@ -140,7 +140,7 @@
 	case "withdraw":
 		return s.Withdraw(c.now, owner(words), message.Withdraw{ID: ident.RequestID(words[0]), Target: words[1]})
 	case "gone":
-		return s.PeerGone(c.now, ident.Incarnation(words[0]))
+		return s.PeerTerminated(c.now, ident.Incarnation(words[0]))
 	case "targets":
 		return s.SetTargets(c.now, parseTargets(strings.Join(words, " ")))
 	case "leaving":
--- a/internal/core/scheduler/slots_test.go
+++ b/internal/core/scheduler/slots_test.go
@@ -146,7 +146,7 @@
 a running r1 t tier=2 once started =>
 a offer r2 t tier=0 final for=2s => queued r2
 wait 1700ms => 
-a done r1 t => grant r2`, func(s *Settings) { s.Silence = 5 * time.Second }),
+a done r1 t => grant r2`, func(s *Settings) { s.FailureTimeout = 5 * time.Second }),
 		// Either of two suspects may be a crashing request. If both ran at one target,
 		// a crash would not show which of them caused it.
 		Entry("runs one suspect at a time", `
--- a/internal/core/scheduler/target.go
+++ b/internal/core/scheduler/target.go
@@ -141,8 +141,8 @@
 		return true
 	}
 	waited := t.clock.Sub(t.added)
-	reported := t.awaited != nil && len(t.awaited) == 0 && waited >= t.settings.Grant
-	if reported || waited >= t.settings.Silence {
+	reported := t.awaited != nil && len(t.awaited) == 0 && waited >= t.settings.GrantTime
+	if reported || waited >= t.settings.FailureTimeout {
 		t.takeover = false
 	}
 	return !t.takeover
@@ -153,14 +153,14 @@
 	if !t.takeover {
 		return 0
 	}
-	return max(0, t.settings.Silence-t.clock.Sub(t.added))
+	return max(0, t.settings.FailureTimeout-t.clock.Sub(t.added))
 }
 
 // takeoverFloor returns the lowest tier that may be granted after a takeover:
 // only the top tier until a floor that the previous scheduler may have promised
 // has ended.
 func (t *target) takeoverFloor() request.Tier {
-	if t.clock.Sub(t.added) < t.settings.Floor {
+	if t.clock.Sub(t.added) < t.settings.FloorTime {
 		return topTier
 	}
 	return ^request.Tier(0)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -136,7 +136,7 @@
 	if !c.config.HasOrganisations() {
 		return nil
 	}
-	organisation, found := c.config.Holder(c.envelope.Key)
+	organisation, found := c.config.OrganisationByKey(c.envelope.Key)
 	if !found {
 		if c.route.Public {
 			return nil
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -208,9 +208,9 @@
 	switch {
 	case u.Restored:
 		// Targets that registered within the lost seconds write their records again.
-		f.register.Restore(u.To.Offset)
+		f.register.SetRestored(u.To.Offset)
 		keepUntil = now.Add(outageGrace)
-	case f.register.Lapse(drops(u.Records)):
+	case f.register.IsMassExpiry(drops(u.Records)):
 		keepUntil = u.UnsettledUntil
 	}
 	var changed []feed.Record
@@ -232,7 +232,7 @@
 func (f *feeds) applyDeparture(target catalog.Target, from string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if !f.register.Depart(target) {
+	if !f.register.MarkLeaving(target) {
 		return false
 	}
 	f.queueLine(eventlog.Fields{"target": target.ID, "started_ms": target.StartedMS, "state": "leaving", "told_by": from})
@@ -278,7 +278,7 @@
 		f.logUndecodable(u.Topic, record, err)
 		return f.dropTarget(now, record, time.Time{})
 	}
-	if f.register.Outdated(target, record.Offset) {
+	if f.register.IsStale(target, record.Offset) {
 		return false
 	}
 	before, known := f.register.Get(target.ID)
--- a/internal/gateway/loadreport.go
+++ b/internal/gateway/loadreport.go
@@ -89,7 +89,7 @@
 func loadMessage(load dispatch.Load) *gossip.Load {
 	samples := make([]gossip.Sample, 0, len(load.Samples))
 	for _, s := range load.Samples {
-		samples = append(samples, gossip.Sample{Target: s.Target, TokenTime: int64(s.TokenTime), Latency: int64(s.Latency), Longest: int64(s.Longest)})
+		samples = append(samples, gossip.Sample{Target: s.Target, TokenTime: int64(s.TokenTime), Latency: int64(s.Latency), Longest: int64(s.LongestPause)})
 	}
 	return &gossip.Load{
 		InFlight: load.InFlight, Reading: load.Reading, Samples: samples,
@@ -112,7 +112,7 @@
 func loadOf(m *gossip.Load) dispatch.Load {
 	samples := make([]dispatch.Sample, 0, len(m.Samples))
 	for _, s := range m.Samples {
-		samples = append(samples, dispatch.Sample{Target: s.Target, TokenTime: time.Duration(s.TokenTime), Latency: time.Duration(s.Latency), Longest: time.Duration(s.Longest)})
+		samples = append(samples, dispatch.Sample{Target: s.Target, TokenTime: time.Duration(s.TokenTime), Latency: time.Duration(s.Latency), LongestPause: time.Duration(s.Longest)})
 	}
 	return dispatch.Load{
 		InFlight: m.InFlight, Reading: m.Reading, Samples: samples,
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -54,7 +54,7 @@
 func (g *Gateway) writesCopies() bool {
 	ahead := 0
 	for _, m := range g.readers() {
-		if dispatch.Rank(m.Name, g.self.Name) < 0 {
+		if dispatch.CompareNames(m.Name, g.self.Name) < 0 {
 			ahead++
 		}
 	}
@@ -93,7 +93,7 @@
 // firstOf returns the first in rank of a name and those of some entries.
 func firstOf(first string, members []peerset.Entry) string {
 	for _, m := range members {
-		if dispatch.Rank(m.Name, first) < 0 {
+		if dispatch.CompareNames(m.Name, first) < 0 {
 			first = m.Name
 		}
 	}
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -81,7 +81,7 @@
 		return change
 	}
 	if change.Replaced {
-		g.state.deliver(g.state.sched.PeerGone(now, status.Name))
+		g.state.deliver(g.state.sched.RemovePeer(now, status.Name))
 	}
 	if change.Joined || change.Replaced {
 		l.scheduleCells(now)
@@ -151,7 +151,7 @@
 		return
 	}
 	g.state.quota.PeerTotals(now, m.From, now.Add(-milliseconds(m.AgeMS)), mapValues(m.Load.Totals, totalOf), m.Load.Partial)
-	g.state.deliver(g.state.sched.PeerLoad(now, m.From, loadOf(m.Load)))
+	g.state.deliver(g.state.sched.SetPeerLoad(now, m.From, loadOf(m.Load)))
 }
 
 func (l *links) handleReplica(replica *gossip.Replica) {
--- a/internal/gateway/rolloutlead.go
+++ b/internal/gateway/rolloutlead.go
@@ -126,7 +126,7 @@
 	known := r.services[service]
 	known.judge, known.rollingBack = nil, false
 	order := known.tracker.Order()
-	report := known.tracker.Report(g.state.sched.Engaged(known.current))
+	report := known.tracker.Report(g.state.sched.Outstanding(known.current))
 	readDue := !known.tracker.Phase().Final() && known.tracker.LeaderSilent(now) && now.Sub(known.recordReadAt) > recordEvery
 	if readDue {
 		known.recordReadAt = now
@@ -148,7 +148,7 @@
 	if known.judge == nil || known.judge.Order() != t.Order() {
 		known.judge = rollout.NewJudge(now, t.Order())
 	}
-	known.judge.Take(now, g.self.Name, g.self.Incarnation, t.Report(g.state.sched.Engaged(known.current)))
+	known.judge.Take(now, g.self.Name, g.self.Incarnation, t.Report(g.state.sched.Outstanding(known.current)))
 	d := known.judge.Decide(now, t.Phase(), t.Elapsed(now), g.liveNames(now))
 	known.rollingBack = d.Action == rollout.RollBack
 	order, phase := t.Order(), t.Phase()
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -189,7 +189,7 @@
 	if t.Phase() != rollout.Canary {
 		return t.NewPool(), ""
 	}
-	if !s.sched.HasRoom(now, t.NewPool()) {
+	if !s.sched.HasFreeSlot(now, t.NewPool()) {
 		return known.current, ""
 	}
 	return t.NewPool(), known.current
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -78,8 +78,8 @@
 	return nil, callerDisconnected
 }
 
-func (c *call) schedulerRequest() dispatch.Ask {
-	request := dispatch.Ask{
+func (c *call) schedulerRequest() dispatch.Request {
+	request := dispatch.Request{
 		ID: c.envelope.ID, Service: c.service, Class: c.route.Prefix,
 		Priority: c.priority, Rank: c.route.Priority,
 		Arrived: c.arrived, Expires: c.expires, Tried: c.tried,
@@ -388,7 +388,7 @@
 	}
 	if report.First > 0 {
 		fields["first_ms"] = report.First.Milliseconds()
-		fields["longest_pause_ms"] = report.Longest.Milliseconds()
+		fields["longest_pause_ms"] = report.LongestPause.Milliseconds()
 	}
 	if err != nil {
 		fields["error"] = err.Error()
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -43,7 +43,7 @@
 }
 
 // submit requests a slot; the channel receives one slotResult unless the ticket is cancelled.
-func (s *state) submit(request dispatch.Ask) (*dispatch.Ticket, <-chan slotResult) {
+func (s *state) submit(request dispatch.Request) (*dispatch.Ticket, <-chan slotResult) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	wait := make(chan slotResult, 1)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -293,7 +293,7 @@
 	if outcome == dispatch.Answered {
 		report.First = s.firstAt.Sub(s.began)
 		report.Rest = s.lastAt.Sub(s.firstAt)
-		report.Longest = s.longest
+		report.LongestPause = s.longest
 	}
 	grant := s.grant
 	s.grant = nil
--- a/internal/replay/sweep/bound_test.go
+++ b/internal/replay/sweep/bound_test.go
@@ -125,7 +125,7 @@
 			}
 			result, err := Run(Options{
 				Document: doc, Deployment: deployment, Scenario: scenario, Loads: []float64{load}, Seeds: []uint64{1, 2}, Seconds: 8, Faults: schedule,
-				Policies: []entry.Policy{entry.PolicyScheduler, entry.PolicyShares, entry.PolicyAlone}, Entries: 6, Workers: 4, ReportAge: time.Second,
+				Policies: []entry.Policy{entry.PolicyScheduler, entry.PolicyShares, entry.PolicyIndependent}, Entries: 6, Workers: 4, ReportAge: time.Second,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			for _, row := range result.Rows {
--- a/internal/replay/sweep/sweep_test.go
+++ b/internal/replay/sweep/sweep_test.go
@@ -57,7 +57,7 @@
 		doc := testDocument()
 		options := Options{
 			Document: doc, Deployment: trace.Tanglaw, Scenario: trace.Usual, Loads: []float64{0.5, 8}, Seeds: []uint64{1, 2},
-			Policies: []entry.Policy{entry.PolicyAlone, entry.PolicyShares}, Seconds: 3, Entries: 2, Workers: 2,
+			Policies: []entry.Policy{entry.PolicyIndependent, entry.PolicyShares}, Seconds: 3, Entries: 2, Workers: 2,
 			NewCore: func(cfg entry.Config, _ time.Time) virtual.Core { return &refuser{self: cfg.Self, doc: doc} },
 		}
 		result, err := Run(options)
--- a/internal/replay/virtual/decisions_test.go
+++ b/internal/replay/virtual/decisions_test.go
@@ -69,7 +69,7 @@
 func BenchmarkDecisions(b *testing.B) {
 	for _, deployment := range []trace.Deployment{trace.Tanglaw, trace.Quebracho} {
 		for _, load := range []float64{1, 2, 4} {
-			for _, policy := range []entry.Policy{entry.PolicyScheduler, entry.PolicyShares, entry.PolicyAlone} {
+			for _, policy := range []entry.Policy{entry.PolicyScheduler, entry.PolicyShares, entry.PolicyIndependent} {
 				b.Run(fmt.Sprintf("%s/load=%g/%s", deployment, load, policy), func(b *testing.B) {
 					measure(b, recordReplay(b, deployment, load, policy))
 				})
--- a/internal/replay/virtual/flight.go
+++ b/internal/replay/virtual/flight.go
@@ -114,7 +114,7 @@
 func (f *flight) removeWaiter(a *attempt) {
 	f.waiters = slices.DeleteFunc(f.waiters, func(other *attempt) bool { return other == a })
 	if len(f.waiters) == 0 && f.status == nil {
-		f.host.input(entry.CallerGone{ID: f.id})
+		f.host.input(entry.CallerLeft{ID: f.id})
 	}
 }
 
--- a/internal/replay/virtual/virtual_test.go
+++ b/internal/replay/virtual/virtual_test.go
@@ -137,7 +137,7 @@
 	t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Seed: 7, Load: load, Seconds: 8, Scenario: trace.Usual})
 	Expect(err).NotTo(HaveOccurred())
 	return Options{
-		Trace: t, Document: doc, Policy: entry.PolicyAlone, Entries: 3, Seed: 5, Faults: faults,
+		Trace: t, Document: doc, Policy: entry.PolicyIndependent, Entries: 3, Seed: 5, Faults: faults,
 		NewCore: func(cfg entry.Config, _ time.Time) Core {
 			return &fakeCore{self: cfg.Self, fault: f, known: map[ident.RequestID]request.Request{}}
 		},
