--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -35,7 +35,7 @@
 	for _, p := range s.Peers {
 		status.Peers = append(status.Peers, operators.Peer{
 			Member: memberOf(p.Member), State: p.State.String(), Version: p.ConfigVersion,
-			InFlight: p.InFlight, Linked: p.Linked, SilentMS: p.Silent.Milliseconds(),
+			InFlight: p.InFlight, Linked: p.Linked, SilentMS: p.SinceContact.Milliseconds(),
 		})
 	}
 	return status, nil
--- a/internal/callers/refusal.go
+++ b/internal/callers/refusal.go
@@ -70,7 +70,7 @@
 		return fasthttp.StatusBadGateway
 	}
 	switch status.Reason {
-	case outcome.ReasonMalformed, outcome.ReasonTierNotAllowed, outcome.ReasonConvicted,
+	case outcome.ReasonMalformed, outcome.ReasonTierNotAllowed, outcome.ReasonQuarantined,
 		outcome.ReasonIDExpired, outcome.ReasonVoided:
 		return fasthttp.StatusBadRequest
 	case outcome.ReasonUnauthorised:
--- a/internal/core/crashes/crashes.go
+++ b/internal/core/crashes/crashes.go
@@ -27,7 +27,7 @@
 )
 
 // Tracker counts failed runs by fingerprint. It is not safe for concurrent use.
-type Memory struct {
+type Tracker struct {
 	runs  map[Fingerprint][]failedRun
 	order []Fingerprint
 }
@@ -40,11 +40,11 @@
 }
 
 // New returns an empty Tracker.
-func New() *Memory { return &Memory{runs: make(map[Fingerprint][]failedRun)} }
+func New() *Tracker { return &Tracker{runs: make(map[Fingerprint][]failedRun)} }
 
 // RecordFailure counts a failed run. It returns false if the run has been counted
 // before.
-func (m *Memory) Broken(now time.Time, fingerprint Fingerprint, id string) bool {
+func (m *Tracker) RecordFailure(now time.Time, fingerprint Fingerprint, id string) bool {
 	runs, found := m.runs[fingerprint]
 	for _, r := range runs {
 		if r.id == id {
@@ -63,12 +63,12 @@
 }
 
 // Count returns the number of failed runs within the retention time.
-func (m *Memory) Count(now time.Time, fingerprint Fingerprint) int {
+func (m *Tracker) Count(now time.Time, fingerprint Fingerprint) int {
 	return len(unexpired(m.runs[fingerprint], now))
 }
 
 // Quarantined reports whether the request must be refused.
-func (m *Memory) Convicted(now time.Time, fingerprint Fingerprint) bool {
+func (m *Tracker) Quarantined(now time.Time, fingerprint Fingerprint) bool {
 	return m.Count(now, fingerprint) >= QuarantineThreshold
 }
 
--- a/internal/core/crashes/crashes_test.go
+++ b/internal/core/crashes/crashes_test.go
@@ -19,13 +19,13 @@
 	g := NewWithT(t)
 	m := crashes.New()
 	for i := range crashes.QuarantineThreshold {
-		g.Expect(m.Convicted(now, 7)).To(BeFalse())
-		g.Expect(m.Broken(now, 7, fmt.Sprint(i))).To(BeTrue())
-		g.Expect(m.Broken(now, 7, fmt.Sprint(i))).To(BeFalse())
+		g.Expect(m.Quarantined(now, 7)).To(BeFalse())
+		g.Expect(m.RecordFailure(now, 7, fmt.Sprint(i))).To(BeTrue())
+		g.Expect(m.RecordFailure(now, 7, fmt.Sprint(i))).To(BeFalse())
 	}
-	g.Expect(m.Convicted(now, 7)).To(BeTrue())
-	g.Expect(m.Convicted(now, 8)).To(BeFalse())
-	g.Expect(m.Convicted(now.Add(time.Hour), 7)).To(BeFalse())
+	g.Expect(m.Quarantined(now, 7)).To(BeTrue())
+	g.Expect(m.Quarantined(now, 8)).To(BeFalse())
+	g.Expect(m.Quarantined(now.Add(time.Hour), 7)).To(BeFalse())
 }
 
 // Callers keep sending new requests that fail. The memory stays bounded.
@@ -33,7 +33,7 @@
 	g := NewWithT(t)
 	m := crashes.New()
 	for i := range 10_000 {
-		m.Broken(now, crashes.Fingerprint(i), "r")
+		m.RecordFailure(now, crashes.Fingerprint(i), "r")
 	}
 	g.Expect(m.Count(now, 0)).To(BeZero())
 	g.Expect(m.Count(now, 9_999)).To(Equal(1))
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -198,9 +198,9 @@
 	case CallerLeft:
 		e.callerLeft(in.ID)
 	case PeerUp:
-		e.members.Up(e.now, in.Member)
+		e.members.LinkUp(e.now, in.Member)
 	case PeerDown:
-		e.members.Down(e.now, in.Incarnation, in.Refused)
+		e.members.LinkDown(e.now, in.Incarnation, in.Refused)
 	case FromPeer:
 		e.deliver(in.From, in.Message, fromScheduler)
 	case RunStarted:
--- a/internal/core/entry/failures_test.go
+++ b/internal/core/entry/failures_test.go
@@ -182,7 +182,7 @@
 		w := runScript(step{0, crashingCall, 0, 0, 0, 0}, step{1500, crashingCall, 1, 1, 0, 0}, step{3500, crashingCall, 2, 2, 0, 0},
 			step{3600, killEntry, 3, 0, 0, 0}, step{5000, crashingCall, 3, 3, 0, 0})
 		Expect(w.runs()).To(Equal(2))
-		Expect(w.reasons()[outcome.ReasonConvicted]).To(Equal(2))
+		Expect(w.reasons()[outcome.ReasonQuarantined]).To(Equal(2))
 	})
 
 	ginkgo.It("a crashing request is resent at once", func() {
@@ -192,6 +192,6 @@
 		w := runScript(step{0, crashingCall, 0, 0, 0, 0}, step{300, crashingCall, 1, 1, 0, 0}, step{600, crashingCall, 2, 2, 0, 0},
 			step{900, crashingCall, 3, 3, 0, 0})
 		Expect(w.runs()).To(Equal(2))
-		Expect(w.reasons()[outcome.ReasonConvicted]).To(Equal(2))
+		Expect(w.reasons()[outcome.ReasonQuarantined]).To(Equal(2))
 	})
 })
--- a/internal/core/entry/fields_test.go
+++ b/internal/core/entry/fields_test.go
@@ -189,7 +189,7 @@
 	{path: "shutdown.drain_ms", change: func(d *document.Document) { d.Shutdown.DrainMS = 700 }, see: func(l *singleEntry) any { return overdue(l, time.Second) }},
 	{path: "shutdown.entries_ttl_ms", change: func(d *document.Document) { d.Shutdown.EntriesTTLMS = 900 }, see: func(l *singleEntry) any { _, good := l.ids.Prefix(l.now); return good }},
 	{path: "timing.heartbeat_ms", change: func(d *document.Document) { d.Timing.HeartbeatMS = 20 }, see: heartbeats},
-	{path: "timing.silence_ms", change: func(d *document.Document) { d.Timing.SilenceMS = 900 }, see: func(l *singleEntry) any { return l.members.Silence() }},
+	{path: "timing.silence_ms", change: func(d *document.Document) { d.Timing.SilenceMS = 900 }, see: func(l *singleEntry) any { return l.members.FailureTimeout() }},
 	{path: "timing.grant_ms", change: func(d *document.Document) { d.Timing.GrantMS = 150 }, see: func(l *singleEntry) any { return dispatched(l.submit(1, nil))[0].NotAfter }},
 	{path: "timing.claim_horizon_ms", change: func(d *document.Document) { d.Timing.ClaimHorizonMS = 20_000 }, see: followed},
 	{path: "timing.retention_ms", change: func(d *document.Document) { d.Timing.RetentionMS = 14_000 }, see: renewals},
--- a/internal/core/entry/lifecycle.go
+++ b/internal/core/entry/lifecycle.go
@@ -13,7 +13,7 @@
 	cfg := drain.Config{PeerTimeout: e.timing.silence, AnswerTTL: startingPeriod, Bound: startingDrain}
 	if e.members != nil {
 		// It grows with the number of members.
-		cfg.PeerTimeout = e.members.Silence()
+		cfg.PeerTimeout = e.members.FailureTimeout()
 	}
 	if e.doc != nil {
 		cfg.AnswerTTL = document.Milliseconds(e.doc.Shutdown.EntriesTTLMS)
--- a/internal/core/entry/members.go
+++ b/internal/core/entry/members.go
@@ -12,7 +12,7 @@
 const membersCheckInterval = 20 * time.Millisecond
 
 func (e *Entry) membershipConfig() membership.Config {
-	return membership.Config{Heartbeat: e.timing.heartbeat, Silence: e.timing.silence, Seed: e.cfg.Seed}
+	return membership.Config{Heartbeat: e.timing.heartbeat, FailureTimeout: e.timing.silence, Seed: e.cfg.Seed}
 }
 
 // sendHeartbeats sends the heartbeats that are due.
@@ -21,8 +21,8 @@
 		e.nextDigests = e.now.Add(e.timing.heartbeat)
 		e.updateSelf()
 	}
-	for _, b := range e.members.Beats(e.now) {
-		e.send(b.Peer, b.Beat)
+	for _, b := range e.members.DueHeartbeats(e.now) {
+		e.send(b.Peer, b.Heartbeat)
 	}
 }
 
@@ -37,7 +37,7 @@
 }
 
 func (e *Entry) heartbeat(from ident.Incarnation, h message.Heartbeat) {
-	e.members.Beat(e.now, from, h)
+	e.members.ReceiveHeartbeat(e.now, from, h)
 	e.applyDigests(from, h.Digests)
 	if h.ConfigVersion > e.version || !e.enabled(guardVersion) && h.ConfigVersion != e.version {
 		// The log is slow or unavailable here: the peer holds a newer document.
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -107,7 +107,7 @@
 }
 
 func (e *Entry) lastCandidate(f *flight) bool {
-	return e.router.Last(e.now, &f.req, func(target string) bool { return f.hasTried(target) })
+	return e.router.LastCandidate(e.now, &f.req, func(target string) bool { return f.hasTried(target) })
 }
 
 // offerAt offers the flight to the scheduler of a target.
@@ -156,7 +156,7 @@
 		PromptTokens: f.req.PromptTokens, MaxTokens: f.req.MaxTokens,
 		Idempotent: f.req.Idempotent || !e.enabled(guardRepeat), Fingerprint: f.req.Fingerprint,
 		Remaining: f.req.Deadline.Sub(e.now),
-		Alone:     e.suspects.Judge(e.now, f.req.Fingerprint) == suspects.Suspect,
+		Alone:     e.suspects.Check(e.now, f.req.Fingerprint) == suspects.Suspect,
 		Final:     f.final && !f.onShare,
 	}
 	if !f.req.FirstTokenBy.IsZero() {
--- a/internal/core/entry/platform.go
+++ b/internal/core/entry/platform.go
@@ -118,7 +118,7 @@
 			e.listLeaving(i.Name, i.Leaving)
 		}
 	}
-	e.members.List(e.now, rows)
+	e.members.SetListed(e.now, rows)
 }
 
 const (
--- a/internal/core/entry/rebalance.go
+++ b/internal/core/entry/rebalance.go
@@ -122,7 +122,7 @@
 func (e *Entry) assignPartitions(live []message.Member) {
 	var mine []int
 	for p := range partitions {
-		coordinator := placement.Home(p, live)
+		coordinator := placement.Coordinator(p, live)
 		e.coordinators[p] = coordinator
 		if coordinator == e.cfg.Self.Incarnation {
 			mine = append(mine, p)
--- a/internal/core/entry/requests.go
+++ b/internal/core/entry/requests.go
@@ -135,8 +135,8 @@
 	if !e.now.Before(req.Deadline) {
 		return outcome.Refused(outcome.ReasonDeadlinePassed, 0, "the deadline has passed"), false
 	}
-	if e.suspects.Judge(e.now, req.Fingerprint) == suspects.Convicted {
-		return outcome.Refused(outcome.ReasonConvicted, 0, "targets died each time that they ran this request"), false
+	if e.suspects.Check(e.now, req.Fingerprint) == suspects.Quarantined {
+		return outcome.Refused(outcome.ReasonQuarantined, 0, "targets died each time that they ran this request"), false
 	}
 	if limit := e.organisationLimit(req.Organisation); limit > 0 && e.perOrganisation[req.Organisation] >= limit {
 		return outcome.Refused(outcome.ReasonOrganisationLimit, retrySoon, "the organisation has as many requests in flight as it may"), false
--- a/internal/core/entry/targets.go
+++ b/internal/core/entry/targets.go
@@ -117,7 +117,7 @@
 		e.crashes[d.Target] = crash
 		e.crashOrder = append(e.crashOrder, d.Target)
 	}
-	e.performSuspects(e.suspects.Death(e.now, d.Target, crash.name, []request.Fingerprint{fingerprint}))
+	e.performSuspects(e.suspects.Crash(e.now, d.Target, crash.name, []request.Fingerprint{fingerprint}))
 }
 
 // expireCrashes ends the crash windows that have passed. Runs that break off
--- a/internal/core/membership/list.go
+++ b/internal/core/membership/list.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// List applies the platform's list of entries. The list lags behind: a new row adds a name
+// SetListed applies the platform's list of entries. The list lags behind: a new row adds a name
 // to connect to, and a missing row removes a name only if it is unresponsive. A member from
 // which heartbeats arrive stays, whatever the list shows. Pass only lists that were read
 // successfully.
-func (m *Membership) List(now time.Time, rows []Instance) {
+func (m *Membership) SetListed(now time.Time, rows []Instance) {
 	m.detectPause(now)
 	m.listed = m.listed[:0]
 	for _, p := range m.peers {
@@ -49,7 +49,7 @@
 func (m *Membership) prune(now time.Time) {
 	for i := len(m.peers) - 1; i >= 0; i-- {
 		p := m.peers[i]
-		unresponsive := now.Sub(p.lastContact) > m.Silence()
+		unresponsive := now.Sub(p.lastContact) > m.FailureTimeout()
 		if p.listed || !p.everListed || p.linked || !unresponsive {
 			continue
 		}
@@ -61,8 +61,8 @@
 	}
 }
 
-// Wanted returns the rows of the last list without an open link.
-func (m *Membership) Wanted() []Instance {
+// Unlinked returns the rows of the last list without an open link.
+func (m *Membership) Unlinked() []Instance {
 	var wanted []Instance
 	for _, row := range m.listed {
 		p := m.byName[row.Name]
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -30,8 +30,8 @@
 type Config struct {
 	// Heartbeat is the time between heartbeats to one peer.
 	Heartbeat time.Duration
-	// Silence is the failure-detection timeout, at least minSilenceHeartbeats heartbeats.
-	Silence time.Duration
+	// FailureTimeout is the failure-detection timeout, at least minSilenceHeartbeats heartbeats.
+	FailureTimeout time.Duration
 	// Removal is the time without contact after which a peer no longer counts for the
 	// quorum. It must exceed the time for which regions may be partitioned.
 	Removal time.Duration
@@ -146,7 +146,7 @@
 	if cfg.Removal <= 0 {
 		cfg.Removal = DefaultRemoval
 	}
-	cfg.Silence = max(cfg.Silence, minSilenceHeartbeats*cfg.Heartbeat)
+	cfg.FailureTimeout = max(cfg.FailureTimeout, minSilenceHeartbeats*cfg.Heartbeat)
 	m.cfg = cfg
 }
 
@@ -162,9 +162,9 @@
 	m.self = self
 }
 
-// Up records that a link to a peer is open and that the peer identified itself in the
+// LinkUp records that a link to a peer is open and that the peer identified itself in the
 // handshake.
-func (m *Membership) Up(now time.Time, member message.Member) {
+func (m *Membership) LinkUp(now time.Time, member message.Member) {
 	m.detectPause(now)
 	if member.Incarnation == m.member.Incarnation || member.Name == m.member.Name {
 		return
@@ -191,9 +191,9 @@
 	p.due = now
 }
 
-// Down records that a link broke. refused: the address refuses connections or answers as
+// LinkDown records that a link broke. refused: the address refuses connections or answers as
 // another incarnation, which proves that the process has terminated.
-func (m *Membership) Down(now time.Time, incarnation ident.Incarnation, refused bool) {
+func (m *Membership) LinkDown(now time.Time, incarnation ident.Incarnation, refused bool) {
 	m.detectPause(now)
 	p := m.byIncarnation[incarnation]
 	if p == nil {
@@ -206,9 +206,9 @@
 	}
 }
 
-// Beat processes a heartbeat of a peer. A heartbeat that is not newer than the last one is
+// ReceiveHeartbeat processes a heartbeat of a peer. A heartbeat that is not newer than the last one is
 // ignored, so that a late one does not make an unresponsive peer live.
-func (m *Membership) Beat(now time.Time, from ident.Incarnation, beat message.Heartbeat) {
+func (m *Membership) ReceiveHeartbeat(now time.Time, from ident.Incarnation, beat message.Heartbeat) {
 	m.detectPause(now)
 	p := m.byIncarnation[from]
 	if p == nil || beat.Seq <= p.lastHeartbeat.Seq {
@@ -234,7 +234,7 @@
 func (m *Membership) detectPause(now time.Time) {
 	gap := now.Sub(m.lastCall)
 	m.lastCall = now
-	if gap <= m.Silence() {
+	if gap <= m.FailureTimeout() {
 		return
 	}
 	m.gap = max(m.gap, gap)
@@ -249,10 +249,10 @@
 	return m.cfg.Heartbeat * time.Duration(m.scale())
 }
 
-// Silence returns the failure-detection timeout at the current number of members; a drain
+// FailureTimeout returns the failure-detection timeout at the current number of members; a drain
 // waits for it to pass.
-func (m *Membership) Silence() time.Duration {
-	return m.cfg.Silence * time.Duration(m.scale())
+func (m *Membership) FailureTimeout() time.Duration {
+	return m.cfg.FailureTimeout * time.Duration(m.scale())
 }
 
 func (m *Membership) scale() int {
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -23,7 +23,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 func config() membership.Config {
-	return membership.Config{Heartbeat: heartbeat, Silence: silence, Removal: time.Hour}
+	return membership.Config{Heartbeat: heartbeat, FailureTimeout: silence, Removal: time.Hour}
 }
 
 func member(i, run int) message.Member {
@@ -60,8 +60,8 @@
 	all := membership.New(m, config(), g.now)
 	all.SetSelf(g.now, membership.Self{State: message.Ready})
 	for i := range g.names {
-		all.Up(g.now, member(index(g.names[i]), 1))
-		g.all[g.names[i]].Up(g.now, m)
+		all.LinkUp(g.now, member(index(g.names[i]), 1))
+		g.all[g.names[i]].LinkUp(g.now, m)
 	}
 	g.names = append(g.names, m.Incarnation)
 	g.all[m.Incarnation] = all
@@ -82,9 +82,9 @@
 				continue
 			}
 			g.changes[from] = append(g.changes[from], g.all[from].Tick(g.now)...)
-			for _, to := range g.all[from].Beats(g.now) {
+			for _, to := range g.all[from].DueHeartbeats(g.now) {
 				if peer := g.all[to.Peer]; peer != nil && !g.paused[to.Peer] && !g.partitioned[string(from+">"+to.Peer)] {
-					peer.Beat(g.now, from, to.Beat)
+					peer.ReceiveHeartbeat(g.now, from, to.Heartbeat)
 				}
 			}
 		}
@@ -145,13 +145,13 @@
 		g := newGroup(3)
 		g.run(time.Second)
 		pausedEntry := g.names[1]
-		queued := g.all[g.names[0]].Beats(g.now.Add(heartbeat))
+		queued := g.all[g.names[0]].DueHeartbeats(g.now.Add(heartbeat))
 		g.paused[pausedEntry] = true
 		g.run(5 * time.Second)
 		Expect(g.live(0)).To(Equal([]int{0, 2}))
 		for _, to := range queued {
 			if to.Peer == pausedEntry {
-				g.all[pausedEntry].Beat(g.now, g.names[0], to.Beat)
+				g.all[pausedEntry].ReceiveHeartbeat(g.now, g.names[0], to.Heartbeat)
 			}
 		}
 		Expect(g.all[pausedEntry].Live()).To(BeEmpty())
@@ -173,9 +173,9 @@
 		g := newGroup(3)
 		g.run(time.Second)
 		m := g.all[g.names[0]]
-		m.Up(g.now, member(2, 2))
-		m.Up(g.now, member(2, 1))
-		m.Beat(g.now, member(2, 1).Incarnation, message.Heartbeat{Seq: 1 << 40, Echo: 1, State: message.Ready})
+		m.LinkUp(g.now, member(2, 2))
+		m.LinkUp(g.now, member(2, 1))
+		m.ReceiveHeartbeat(g.now, member(2, 1).Incarnation, message.Heartbeat{Seq: 1 << 40, Echo: 1, State: message.Ready})
 		found := m.Tick(g.now)
 		Expect(kinds(found)).To(Equal([]membership.ChangeKind{membership.MemberLost, membership.MemberReplaced}))
 		Expect(g.live(0)).To(Equal([]int{0, 1}))
@@ -191,13 +191,13 @@
 		g.run(time.Second)
 		m := g.all[g.names[0]]
 		row := func(i int) membership.Instance { return membership.Instance{Name: member(i, 1).Name, Zone: "zone-0"} }
-		m.List(g.now, []membership.Instance{row(0), row(1), row(7)})
-		Expect(m.Wanted()).To(Equal([]membership.Instance{row(7)}))
+		m.SetListed(g.now, []membership.Instance{row(0), row(1), row(7)})
+		Expect(m.Unlinked()).To(Equal([]membership.Instance{row(7)}))
 		g.run(time.Second)
 		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "2 sends heartbeats and 7 does not")
 		Expect(m.Members(g.now)).To(HaveLen(3))
-		m.Down(g.now, member(1, 1).Incarnation, false)
-		m.List(g.now, []membership.Instance{row(0)})
+		m.LinkDown(g.now, member(1, 1).Incarnation, false)
+		m.SetListed(g.now, []membership.Instance{row(0)})
 		m.Tick(g.now)
 		Expect(g.live(0)).To(Equal([]int{0, 1, 2}), "1 has just sent a heartbeat")
 		Expect(m.Members(g.now)).To(HaveLen(2), "7 was removed")
@@ -217,22 +217,22 @@
 		Entry("two connected", 2, func(*membership.Membership, time.Time) {}, false),
 		Entry("three connected", 3, func(*membership.Membership, time.Time) {}, true),
 		Entry("two connected, one refuses connections", 2, func(m *membership.Membership, now time.Time) {
-			m.Down(now, member(5, 1).Incarnation, true)
+			m.LinkDown(now, member(5, 1).Incarnation, true)
 		}, true),
 		Entry("two connected, one link broke", 2, func(m *membership.Membership, now time.Time) {
-			m.Down(now, member(5, 1).Incarnation, false)
+			m.LinkDown(now, member(5, 1).Incarnation, false)
 		}, false),
 		Entry("two connected, one removed from the list with its link open", 2, func(m *membership.Membership, now time.Time) {
-			m.List(now, []membership.Instance{{Name: member(5, 1).Name}})
-			m.List(now, nil)
+			m.SetListed(now, []membership.Instance{{Name: member(5, 1).Name}})
+			m.SetListed(now, nil)
 		}, false),
 		Entry("two connected, one stopped", 2, func(m *membership.Membership, now time.Time) {
-			m.Beat(now, member(5, 1).Incarnation, message.Heartbeat{Seq: 1 << 40, State: message.Stopped})
+			m.ReceiveHeartbeat(now, member(5, 1).Incarnation, message.Heartbeat{Seq: 1 << 40, State: message.Stopped})
 		}, true),
 		Entry("two connected, one pruned by the list", 2, func(m *membership.Membership, now time.Time) {
-			m.Down(now, member(5, 1).Incarnation, false)
-			m.List(now, []membership.Instance{{Name: member(5, 1).Name}})
-			m.List(now, nil)
+			m.LinkDown(now, member(5, 1).Incarnation, false)
+			m.SetListed(now, []membership.Instance{{Name: member(5, 1).Name}})
+			m.SetListed(now, nil)
 		}, true),
 	)
 
@@ -241,13 +241,13 @@
 		g.paused[g.names[1]], g.paused[g.names[2]] = true, true
 		m := g.all[g.names[0]]
 		rows := []membership.Instance{{Name: member(1, 1).Name}, {Name: member(2, 1).Name}}
-		m.List(start, rows)
+		m.SetListed(start, rows)
 		Expect(m.Quorum(start)).To(BeFalse())
 		m.Tick(start.Add(time.Hour))
 		Expect(m.Quorum(start.Add(time.Hour))).To(BeFalse())
 		later := start.Add(time.Hour + time.Second)
 		Expect(kinds(m.Tick(later))).To(Equal([]membership.ChangeKind{membership.MemberRemoved, membership.MemberRemoved}))
-		m.List(later, rows)
+		m.SetListed(later, rows)
 		Expect(m.Quorum(later)).To(BeTrue())
 	})
 
@@ -257,8 +257,8 @@
 		g := newGroup(2)
 		g.run(time.Second)
 		m, from := g.all[g.names[0]], g.names[1]
-		m.Beat(g.now, from, message.Heartbeat{Seq: 1 << 40, State: message.Draining})
-		m.Beat(g.now, from, message.Heartbeat{Seq: 1<<40 - 1, State: message.Ready})
+		m.ReceiveHeartbeat(g.now, from, message.Heartbeat{Seq: 1 << 40, State: message.Draining})
+		m.ReceiveHeartbeat(g.now, from, message.Heartbeat{Seq: 1<<40 - 1, State: message.Ready})
 		m.Tick(g.now)
 		Expect(g.live(0)).To(Equal([]int{0}))
 	})
@@ -287,15 +287,15 @@
 		m.SetSelf(start, membership.Self{State: message.Ready, Digests: []message.Digest{{Target: "t"}}})
 		Expect(m.Interval()).To(Equal(heartbeat))
 		for i := 1; i < 410; i++ {
-			m.Up(start, member(i, 1))
+			m.LinkUp(start, member(i, 1))
 		}
 		Expect(m.Interval()).To(Equal(18 * heartbeat))
 		beats, near, far := 0, 0, 0
 		for now := start; now.Before(start.Add(72 * heartbeat)); now = now.Add(step) {
-			for _, to := range m.Beats(now) {
+			for _, to := range m.DueHeartbeats(now) {
 				beats++
 				switch {
-				case len(to.Beat.Digests) == 0:
+				case len(to.Heartbeat.Digests) == 0:
 				case index(to.Peer)%3 == 0:
 					near++
 				default:
@@ -339,22 +339,22 @@
 	for i := 1; i < n; i++ {
 		peer := member(i, 1)
 		peer.Zone = fmt.Sprint("zone-", i%zones)
-		m.Up(start, peer)
+		m.LinkUp(start, peer)
 	}
 	now, sent, bytes := start, 0, 0
 	for b.Loop() {
 		for range 50 {
 			now = now.Add(step)
-			for _, to := range m.Beats(now) {
+			for _, to := range m.DueHeartbeats(now) {
 				sent++
 				b.StopTimer()
-				data, err := cbor.Marshal(to.Beat)
+				data, err := cbor.Marshal(to.Heartbeat)
 				if err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
 				bytes += len(data)
-				m.Beat(now, to.Peer, message.Heartbeat{Seq: to.Beat.Seq, Echo: to.Beat.Seq, State: message.Ready})
+				m.ReceiveHeartbeat(now, to.Peer, message.Heartbeat{Seq: to.Heartbeat.Seq, Echo: to.Heartbeat.Seq, State: message.Ready})
 			}
 			m.Tick(now)
 		}
--- a/internal/core/membership/peer.go
+++ b/internal/core/membership/peer.go
@@ -52,7 +52,7 @@
 	if p.terminated || p.echoed == 0 {
 		return false
 	}
-	return now.Sub(m.sentAt(p.echoed)) <= m.Silence()
+	return now.Sub(m.sentAt(p.echoed)) <= m.FailureTimeout()
 }
 
 // counts reports whether the peer counts for the quorum; see Quorum. It does not if its
--- a/internal/core/membership/tick.go
+++ b/internal/core/membership/tick.go
@@ -103,19 +103,19 @@
 
 // Outgoing is a heartbeat and its receiver.
 type Outgoing struct {
-	Peer ident.Incarnation
-	Beat message.Heartbeat
+	Peer      ident.Incarnation
+	Heartbeat message.Heartbeat
 }
 
-// Beats returns the heartbeats that are due, by the peers' names.
-func (m *Membership) Beats(now time.Time) []Outgoing {
+// DueHeartbeats returns the heartbeats that are due, by the peers' names.
+func (m *Membership) DueHeartbeats(now time.Time) []Outgoing {
 	m.detectPause(now)
 	var out []Outgoing
 	for _, p := range m.peers {
 		if !p.linked || now.Before(p.due) {
 			continue
 		}
-		out = append(out, Outgoing{Peer: p.Incarnation, Beat: m.heartbeat(now, p)})
+		out = append(out, Outgoing{Peer: p.Incarnation, Heartbeat: m.heartbeat(now, p)})
 		p.due = now.Add(m.nextInterval(p))
 	}
 	return out
--- a/internal/core/membership/views.go
+++ b/internal/core/membership/views.go
@@ -17,7 +17,7 @@
 	Linked, Live, Counts bool
 	// SinceContact is the time since the last contact, SinceEcho the age of the last of our
 	// heartbeats that it received; negative: never.
-	Silent, Unechoed time.Duration
+	SinceContact, SinceEcho time.Duration
 	// Digests are the last ones received from it, DigestAge is how long ago.
 	Digests   []message.Digest
 	DigestAge time.Duration
@@ -35,16 +35,16 @@
 			Linked:        p.linked,
 			Live:          p.live,
 			Counts:        m.counts(now, p),
-			Silent:        -1,
-			Unechoed:      -1,
+			SinceContact:  -1,
+			SinceEcho:     -1,
 			Digests:       p.lastHeartbeat.Digests,
 			DigestAge:     now.Sub(p.digestsAt),
 		}
 		if !p.lastContact.IsZero() {
-			v.Silent = now.Sub(p.lastContact)
+			v.SinceContact = now.Sub(p.lastContact)
 		}
 		if p.echoed > 0 {
-			v.Unechoed = now.Sub(m.sentAt(p.echoed))
+			v.SinceEcho = now.Sub(m.sentAt(p.echoed))
 		}
 		views = append(views, v)
 	}
--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -46,7 +46,7 @@
 	ReasonNoTarget         Reason = "no_target"
 	ReasonLogUnavailable   Reason = "log_unavailable"
 	ReasonDuplicateKey     Reason = "idempotency_key_in_use"
-	ReasonConvicted        Reason = "request_crashes_targets"
+	ReasonQuarantined      Reason = "request_crashes_targets"
 	ReasonProcessPaused    Reason = "process_was_paused"
 	ReasonVoided           Reason = "request_id_voided"
 	ReasonPreempted        Reason = "preempted_by_higher_tier"
@@ -62,7 +62,7 @@
 
 // CapacityRelated reports whether the reason is a lack of capacity. Only such a refusal
 // is bound by the order of tiers: a malformed request may be refused at any time.
-func (r Reason) Load() bool {
+func (r Reason) CapacityRelated() bool {
 	switch r {
 	case ReasonOverload, ReasonDisplaced, ReasonDeadline, ReasonDeadlinePassed, ReasonEntryFull:
 		return true
--- a/internal/core/peerset/cells.go
+++ b/internal/core/peerset/cells.go
@@ -25,11 +25,11 @@
 	Own, Count, Entries int
 	// Peers are the other entries of the cell that serve. Audience is Peers and the live
 	// entries that would be in the cell if they served.
-	Mates, Audience []Entry
-	// Relays reports whether this entry relays the status of its cell.
-	Relays bool
+	Peers, Audience []Entry
+	// IsRelay reports whether this entry relays the status of its cell.
+	IsRelay bool
 	// OtherCells are the serving entries of the other cells, by cell, if IsRelay.
-	Others [][]Entry
+	OtherCells [][]Entry
 }
 
 // Cells divides the live entries into cells. ready reports whether this entry serves.
@@ -48,21 +48,21 @@
 	for i, m := range serving {
 		switch {
 		case cellAt(i, own, c.Entries) != c.Own:
-		case i < own && now.Sub(m.Direct) < s.config.Silence:
+		case i < own && now.Sub(m.LastDirect) < s.config.FailureTimeout:
 			ahead++
 			fallthrough
 		default:
-			c.Mates = append(c.Mates, m.Entry)
+			c.Peers = append(c.Peers, m.Entry)
 		}
 	}
-	c.Audience = slices.Clone(c.Mates)
+	c.Audience = slices.Clone(c.Peers)
 	for _, m := range s.order {
 		if m.State != Ready && s.live(now, m) && dispatch.CellOf(positionAmong(serving, m.position), c.Entries) == c.Own {
 			c.Audience = append(c.Audience, m.Entry)
 		}
 	}
-	if c.Relays = ready && c.Count > 1 && ahead < relaysPerCell; c.Relays {
-		c.Others = others(serving, own, c)
+	if c.IsRelay = ready && c.Count > 1 && ahead < relaysPerCell; c.IsRelay {
+		c.OtherCells = others(serving, own, c)
 	}
 	return c
 }
@@ -93,16 +93,16 @@
 	return i
 }
 
-// Relayed returns the entries whose status this one relays: those with recent direct
+// RelayedMembers returns the entries whose status this one relays: those with recent direct
 // contact, whatever cell they consider themselves in.
-func (s *Set) Relayed(now time.Time) []Member {
-	return s.filter(func(m *Member) bool { return now.Sub(m.Direct) < directTimeout })
+func (s *Set) RelayedMembers(now time.Time) []Member {
+	return s.filter(func(m *Member) bool { return now.Sub(m.LastDirect) < directTimeout })
 }
 
-// Probed returns the unresponsive entry to be probed next, as turn increases; false: none is
+// NextProbe returns the unresponsive entry to be probed next, as turn increases; false: none is
 // unresponsive. Heartbeats and digests go to live entries only. Without probes, two parts of
 // a fleet would never reconnect after a network partition.
-func (s *Set) Probed(now time.Time, turn int) (Entry, bool) {
+func (s *Set) NextProbe(now time.Time, turn int) (Entry, bool) {
 	unresponsive := s.filter(func(m *Member) bool { return !s.live(now, m) })
 	if len(unresponsive) == 0 {
 		return Entry{}, false
--- a/internal/core/peerset/cells_test.go
+++ b/internal/core/peerset/cells_test.go
@@ -62,7 +62,7 @@
 	e.set = peerset.New(config, e.entry)
 	e.started, e.sequence, e.down = f.now, 0, false
 	for _, other := range f.entries {
-		e.set.Registered(f.now, other.entry)
+		e.set.AddRegistered(f.now, other.entry)
 	}
 }
 
@@ -72,9 +72,9 @@
 	f.announce(e)
 }
 
-func (f *fleet) status(e *node) peerset.Word {
+func (f *fleet) status(e *node) peerset.Status {
 	e.sequence++
-	return peerset.Word{Entry: e.entry, State: peerset.Ready, Sequence: e.sequence, Age: f.now.Sub(e.started)}
+	return peerset.Status{Entry: e.entry, State: peerset.Ready, Sequence: e.sequence, Age: f.now.Sub(e.started)}
 }
 
 // send delivers a message to another entry unless it is lost.
@@ -90,47 +90,47 @@
 func (f *fleet) announce(e *node) {
 	status := f.status(e)
 	for _, other := range f.entries {
-		f.send(e, other.entry.Name, func(to *node) { to.set.Heard(f.now, f.now, status) })
+		f.send(e, other.entry.Name, func(to *node) { to.set.ApplyStatus(f.now, f.now, status) })
 	}
 }
 
 func (f *fleet) heartbeat(e *node, cells peerset.Cells) {
 	status := f.status(e)
 	for _, m := range cells.Audience {
-		f.send(e, m.Name, func(to *node) { to.set.Heard(f.now, f.now, status) })
+		f.send(e, m.Name, func(to *node) { to.set.ApplyStatus(f.now, f.now, status) })
 	}
 }
 
 // probe sends the status of an entry to an unresponsive one, which replies.
 func (f *fleet) probe(e *node) {
-	unresponsive, found := e.set.Probed(f.now, e.ticks)
+	unresponsive, found := e.set.NextProbe(f.now, e.ticks)
 	if !found {
 		return
 	}
 	status := f.status(e)
 	f.send(e, unresponsive.Name, func(to *node) {
-		if !to.set.Heard(f.now, f.now, status).Returned {
+		if !to.set.ApplyStatus(f.now, f.now, status).Returned {
 			return
 		}
 		reply := f.status(to)
-		f.send(to, e.entry.Name, func(*node) { e.set.Heard(f.now, f.now, reply) })
+		f.send(to, e.entry.Name, func(*node) { e.set.ApplyStatus(f.now, f.now, reply) })
 	})
 }
 
 func (f *fleet) digest(e *node, cells peerset.Cells) {
-	statuses := []peerset.Word{f.status(e)}
+	statuses := []peerset.Status{f.status(e)}
 	at := []time.Time{f.now}
-	for _, m := range e.set.Relayed(f.now) {
-		statuses = append(statuses, peerset.Word{Entry: m.Entry, State: m.State, Sequence: m.Sequence, Age: m.Heard.Sub(m.Started)})
-		at = append(at, m.Heard)
+	for _, m := range e.set.RelayedMembers(f.now) {
+		statuses = append(statuses, peerset.Status{Entry: m.Entry, State: m.State, Sequence: m.Sequence, Age: m.LastContact.Sub(m.Started)})
+		at = append(at, m.LastContact)
 	}
 	receive := func(to *node) {
 		for i, status := range statuses {
 			status.Relayed = true
-			to.set.Heard(f.now, at[i], status)
+			to.set.ApplyStatus(f.now, at[i], status)
 		}
 	}
-	for _, cell := range cells.Others {
+	for _, cell := range cells.OtherCells {
 		if len(cell) == 0 {
 			continue
 		}
@@ -155,7 +155,7 @@
 			cells := e.set.Cells(f.now, true)
 			f.heartbeat(e, cells)
 			f.probe(e)
-			if cells.Relays && time.Duration(e.ticks)*heartbeatInterval%digestInterval == 0 {
+			if cells.IsRelay && time.Duration(e.ticks)*heartbeatInterval%digestInterval == 0 {
 				f.digest(e, cells)
 			}
 		}
@@ -193,17 +193,17 @@
 				cells := e.set.Cells(f.now, true)
 				g.Expect(cells.Entries).To(Equal(n))
 				g.Expect(cells.Count).To(Equal(dispatch.Cells(n)))
-				if cells.Relays {
+				if cells.IsRelay {
 					others := 0
-					for _, cell := range cells.Others {
+					for _, cell := range cells.OtherCells {
 						others += len(cell)
 					}
-					g.Expect(len(cells.Mates) + others).To(Equal(n - 1))
+					g.Expect(len(cells.Peers) + others).To(Equal(n - 1))
 				}
-				for _, m := range cells.Mates {
+				for _, m := range cells.Peers {
 					g.Expect(cellOf[m.Name]).To(Equal(cells.Own))
 				}
-				if cells.Relays {
+				if cells.IsRelay {
 					relays[cells.Own]++
 				}
 			}
@@ -243,7 +243,7 @@
 	for i, e := range f.entries {
 		e.down = i%4 == 0
 	}
-	f.run(config.RelayedSilence + digestInterval)
+	f.run(config.RelayedFailureTimeout + digestInterval)
 	_, most := f.liveCounts(false)
 	g.Expect(most).To(Equal(large - 1 - (large+3)/4))
 }
@@ -259,7 +259,7 @@
 		e.farSide = i%3 == 0
 	}
 	f.partitioned = true
-	f.run(config.RelayedSilence + 3*digestInterval)
+	f.run(config.RelayedFailureTimeout + 3*digestInterval)
 	nearLeast, nearMost := f.liveCounts(false)
 	g.Expect([]int{nearLeast, nearMost}).To(Equal([]int{large*2/3 - 1, large*2/3 - 1}))
 	farLeast, farMost := f.liveCounts(true)
@@ -282,7 +282,7 @@
 	f.run(2 * time.Second)
 	e := f.entries[7]
 	previous := e.entry
-	previousStatus := peerset.Word{Entry: previous, State: peerset.Ready, Sequence: 1000, Age: 2 * time.Second, Relayed: true}
+	previousStatus := peerset.Status{Entry: previous, State: peerset.Ready, Sequence: 1000, Age: 2 * time.Second, Relayed: true}
 	f.lossRate = 0.5
 	f.restart(e)
 	f.lossRate = 0
@@ -291,8 +291,8 @@
 		if other == e {
 			continue
 		}
-		update := other.set.Heard(f.now, f.now.Add(-2*digestInterval), previousStatus)
-		g.Expect(update).To(Equal(peerset.News{Old: true}))
+		update := other.set.ApplyStatus(f.now, f.now.Add(-2*digestInterval), previousStatus)
+		g.Expect(update).To(Equal(peerset.Update{Outdated: true}))
 	}
 	least, _ := f.liveCounts(false)
 	g.Expect(least).To(Equal(large - 1))
@@ -304,11 +304,11 @@
 func TestRelayedStatusOfAnUnknownEntry(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
-	status := peerset.Word{Entry: peerset.Entry{Name: "new", Incarnation: 3}, State: peerset.Ready, Sequence: 1, Relayed: true}
-	g.Expect(s.Heard(now, now, status)).To(Equal(peerset.News{Unknown: true}))
+	status := peerset.Status{Entry: peerset.Entry{Name: "new", Incarnation: 3}, State: peerset.Ready, Sequence: 1, Relayed: true}
+	g.Expect(s.ApplyStatus(now, now, status)).To(Equal(peerset.Update{Unknown: true}))
 	g.Expect(s.Size()).To(Equal(1))
-	s.Registered(now, entry("new", 3))
-	g.Expect(s.Heard(now, now, status).Joined).To(BeTrue())
+	s.AddRegistered(now, entry("new", 3))
+	g.Expect(s.ApplyStatus(now, now, status).Joined).To(BeTrue())
 	g.Expect(s.Serving(now)[0].Callers).To(Equal("new:80"))
 }
 
--- a/internal/core/peerset/peerset.go
+++ b/internal/core/peerset/peerset.go
@@ -41,13 +41,13 @@
 
 // Config sets the intervals.
 type Config struct {
-	// Silence is the failure-detection timeout where all entries exchange messages directly:
+	// FailureTimeout is the failure-detection timeout where all entries exchange messages directly:
 	// an entry without contact for longer gets no callers.
-	Silence time.Duration
-	// RelayedSilence is the failure-detection timeout where there are several cells: the
+	FailureTimeout time.Duration
+	// RelayedFailureTimeout is the failure-detection timeout where there are several cells: the
 	// status of entries of other cells arrives through relays, and some of these messages
 	// may be lost.
-	RelayedSilence time.Duration
+	RelayedFailureTimeout time.Duration
 	// Removal is the time without contact after which an entry no longer counts as one that
 	// may be serving: instances are replaced permanently without notice.
 	Removal time.Duration
@@ -59,39 +59,39 @@
 	State State
 	// LastContact is the time of the last contact, Started when it started, both by the
 	// local clock.
-	Heard, Started time.Time
-	// Blind: it is disconnected from the store.
-	Blind bool
+	LastContact, Started time.Time
+	// StoreDisconnected: it is disconnected from the store.
+	StoreDisconnected bool
 	// Version is the version of the configuration in force at the entry.
 	Version int64
 	// Sequence is the number of its last message, LastDirect the time of the last contact
 	// without a relay.
-	Sequence uint64
-	Direct   time.Time
+	Sequence   uint64
+	LastDirect time.Time
 	// position determines the order in which entries are divided into cells; see
 	// dispatch.Place.
 	position uint64
 }
 
-// Word is the status that an entry reports.
-type Word struct {
+// Status is the status that an entry reports.
+type Status struct {
 	Entry
 	State State
 	// Sequence increases with each message of an incarnation.
 	Sequence uint64
 	// Age is how long the entry had been running when it sent the status.
-	Age     time.Duration
-	Blind   bool
-	Version int64
+	Age               time.Duration
+	StoreDisconnected bool
+	Version           int64
 	// Relayed: the status was passed on by another entry. Such a status has no addresses.
 	Relayed bool
 }
 
-// News is the effect of a status.
-type News struct {
-	// Old: the status is outdated: a later one has been received, or its incarnation has
+// Update is the effect of a status.
+type Update struct {
+	// Outdated: the status is outdated: a later one has been received, or its incarnation has
 	// been replaced.
-	Old bool
+	Outdated bool
 	// Unknown: the entry is not known, and the status does not have its addresses.
 	Unknown bool
 	// Joined: it was not live before. Returned: it had been live before it became
@@ -113,15 +113,15 @@
 	return &Set{config: config, self: self, members: make(map[string]*Member)}
 }
 
-// Registered adds an entry from the registry. It is not live before there is contact.
-func (s *Set) Registered(now time.Time, entry Entry) {
+// AddRegistered adds an entry from the registry. It is not live before there is contact.
+func (s *Set) AddRegistered(now time.Time, entry Entry) {
 	if entry.Name == s.self.Name {
 		return
 	}
 	known, found := s.members[entry.Name]
 	if !found {
 		known = s.add(entry)
-		known.Started, known.Heard = now, now.Add(-s.failureTimeout())
+		known.Started, known.LastContact = now, now.Add(-s.failureTimeout())
 		return
 	}
 	if !s.live(now, known) && known.Incarnation != entry.Incarnation {
@@ -144,53 +144,53 @@
 	return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.Name, b.Name))
 }
 
-// Heard applies the status of an entry, sent at the given time by the local clock.
-func (s *Set) Heard(now, at time.Time, status Word) News {
+// ApplyStatus applies the status of an entry, sent at the given time by the local clock.
+func (s *Set) ApplyStatus(now, at time.Time, status Status) Update {
 	if status.Name == s.self.Name {
-		return News{Old: true}
+		return Update{Outdated: true}
 	}
 	known, found := s.members[status.Name]
 	if !found {
 		if status.Relayed {
-			return News{Unknown: true}
+			return Update{Unknown: true}
 		}
 		known = s.add(status.Entry)
 	}
 	started := at.Add(-status.Age)
 	if found && s.outdated(now, known, status, started) {
-		return News{Old: true}
+		return Update{Outdated: true}
 	}
-	update := News{Joined: !found || !s.live(now, known), Replaced: found && known.Incarnation != status.Incarnation}
+	update := Update{Joined: !found || !s.live(now, known), Replaced: found && known.Incarnation != status.Incarnation}
 	update.Returned = update.Joined && found && known.Sequence > 0
 	if status.Relayed {
 		known.Incarnation = status.Incarnation
 	} else {
-		known.Entry, known.Direct = status.Entry, at
+		known.Entry, known.LastDirect = status.Entry, at
 	}
-	known.State, known.Blind, known.Version, known.Sequence = status.State, status.Blind, status.Version, status.Sequence
-	known.Heard, known.Started = at, started
+	known.State, known.StoreDisconnected, known.Version, known.Sequence = status.State, status.StoreDisconnected, status.Version, status.Sequence
+	known.LastContact, known.Started = at, started
 	return update
 }
 
 // outdated reports whether a status is older than the known one. Datagrams may arrive late,
 // and relays pass on the status of an incarnation while they do not know that it has been
 // replaced.
-func (s *Set) outdated(now time.Time, known *Member, status Word, started time.Time) bool {
+func (s *Set) outdated(now time.Time, known *Member, status Status, started time.Time) bool {
 	if known.Incarnation == status.Incarnation {
 		return status.Sequence <= known.Sequence
 	}
 	return known.Started.After(started) && s.live(now, known)
 }
 
-// Touched records any other message of an entry, such as a report of its load, which also
+// RecordContact records any other message of an entry, such as a report of its load, which also
 // shows that it is live. It returns false if the message is outdated or its sender is not
 // known yet.
-func (s *Set) Touched(now time.Time, name string, incarnation, sequence uint64) bool {
+func (s *Set) RecordContact(now time.Time, name string, incarnation, sequence uint64) bool {
 	known, found := s.members[name]
 	if !found || known.Incarnation != incarnation || sequence <= known.Sequence {
 		return false
 	}
-	known.Sequence, known.Heard, known.Direct = sequence, now, now
+	known.Sequence, known.LastContact, known.LastDirect = sequence, now, now
 	return true
 }
 
@@ -200,7 +200,7 @@
 func (s *Set) Prune(now time.Time) []Entry {
 	var expired []Entry
 	for _, m := range s.members {
-		if now.Sub(m.Heard) > s.config.Removal {
+		if now.Sub(m.LastContact) > s.config.Removal {
 			expired = append(expired, m.Entry)
 		}
 	}
@@ -235,7 +235,7 @@
 	return found && s.live(now, m)
 }
 
-func (s *Set) live(now time.Time, m *Member) bool { return now.Sub(m.Heard) < s.failureTimeout() }
+func (s *Set) live(now time.Time, m *Member) bool { return now.Sub(m.LastContact) < s.failureTimeout() }
 
 // Serving returns the other entries that callers may be sent to.
 func (s *Set) Serving(now time.Time) []Member {
@@ -247,7 +247,7 @@
 // Readers returns the live entries from which the reader of the store is chosen: those that
 // serve and can read the store or, if there are none, all that are not draining.
 func (s *Set) Readers(now time.Time) []Member {
-	able := s.filter(func(m *Member) bool { return s.serves(now, m) && !m.Blind })
+	able := s.filter(func(m *Member) bool { return s.serves(now, m) && !m.StoreDisconnected })
 	if len(able) > 0 {
 		return able
 	}
@@ -259,7 +259,7 @@
 
 func (s *Set) failureTimeout() time.Duration {
 	if dispatch.Cells(s.Size()) > 1 {
-		return s.config.RelayedSilence
+		return s.config.RelayedFailureTimeout
 	}
-	return s.config.Silence
+	return s.config.FailureTimeout
 }
--- a/internal/core/peerset/peerset_test.go
+++ b/internal/core/peerset/peerset_test.go
@@ -12,13 +12,13 @@
 
 var (
 	now    = time.Unix(1_000_000, 0)
-	config = peerset.Config{Silence: 900 * time.Millisecond, RelayedSilence: 4 * time.Second, Removal: 20 * time.Second}
+	config = peerset.Config{FailureTimeout: 900 * time.Millisecond, RelayedFailureTimeout: 4 * time.Second, Removal: 20 * time.Second}
 )
 
 // receive applies an entry's own status to a set. Each status is later than those before.
 func receive(s *peerset.Set, at time.Time, e peerset.Entry, state peerset.State, age time.Duration, blind bool) (joined, replaced bool) {
 	sequence++
-	update := s.Heard(at, at, peerset.Word{Entry: e, State: state, Age: age, Blind: blind, Sequence: sequence})
+	update := s.ApplyStatus(at, at, peerset.Status{Entry: e, State: state, Age: age, StoreDisconnected: blind, Sequence: sequence})
 	return update.Joined, update.Replaced
 }
 
@@ -34,7 +34,7 @@
 func TestRegisteredEntryIsNotServingBeforeContact(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
-	s.Registered(now, entry("a", 1))
+	s.AddRegistered(now, entry("a", 1))
 	g.Expect(s.Serving(now)).To(BeEmpty())
 	g.Expect(s.Size()).To(Equal(2), "it may be serving without contact")
 	joined, replaced := receive(s, now, entry("a", 1), peerset.Ready, time.Second, false)
@@ -99,10 +99,10 @@
 	g := NewWithT(t)
 	s := newSet()
 	receive(s, now, entry("a", 1), peerset.Ready, time.Second, false)
-	g.Expect(s.Live(now.Add(config.Silence), "a")).To(BeFalse())
+	g.Expect(s.Live(now.Add(config.FailureTimeout), "a")).To(BeFalse())
 	for i := range 77 {
-		s.Registered(now, entry(fmt.Sprint(i), 1))
+		s.AddRegistered(now, entry(fmt.Sprint(i), 1))
 	}
-	g.Expect(s.Live(now.Add(config.RelayedSilence-time.Millisecond), "a")).To(BeTrue())
-	g.Expect(s.Live(now.Add(config.RelayedSilence), "a")).To(BeFalse())
+	g.Expect(s.Live(now.Add(config.RelayedFailureTimeout-time.Millisecond), "a")).To(BeTrue())
+	g.Expect(s.Live(now.Add(config.RelayedFailureTimeout), "a")).To(BeFalse())
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -32,9 +32,9 @@
 	return ""
 }
 
-// Home returns the coordinator of a partition, the member that batches its claims; empty if
+// Coordinator returns the coordinator of a partition, the member that batches its claims; empty if
 // there are no members.
-func Home(partition int, members []message.Member) ident.Incarnation {
+func Coordinator(partition int, members []message.Member) ident.Incarnation {
 	key := xxhash.Sum64String("partition " + strconv.Itoa(partition))
 	if best := highest(key, "", members); best >= 0 {
 		return members[best].Incarnation
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -55,7 +55,7 @@
 		}
 		Expect(placement.Scheduler("engine-1", "zone-none", all)).NotTo(BeEmpty())
 		Expect(placement.Scheduler("engine-1", "zone-none", nil)).To(BeEmpty())
-		Expect(placement.Home(1, nil)).To(BeEmpty())
+		Expect(placement.Coordinator(1, nil)).To(BeEmpty())
 	})
 
 	It("distributes coordinators over all members, independent of the order of the list", func() {
@@ -66,8 +66,8 @@
 		}
 		homes := map[ident.Incarnation]bool{}
 		for partition := range 64 {
-			homes[placement.Home(partition, all)] = true
-			Expect(placement.Home(partition, reversed)).To(Equal(placement.Home(partition, all)))
+			homes[placement.Coordinator(partition, all)] = true
+			Expect(placement.Coordinator(partition, reversed)).To(Equal(placement.Coordinator(partition, all)))
 		}
 		Expect(homes).To(HaveLen(6))
 	})
--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -23,7 +23,7 @@
 		limits = append(limits, catalog.Organisation{Name: fmt.Sprint("organisation-", i), Rate: rate, Burst: burst})
 	}
 	limiter.SetOrganisations(limits)
-	limiter.SetListed(true)
+	limiter.SetPeersKnown(true)
 	peers := make([]quota.Peer, entries-1)
 	for i := range peers {
 		peers[i] = quota.Peer{Name: fmt.Sprint("entry-", i), Started: now}
@@ -66,7 +66,7 @@
 			limiter, now := newBenchLimiter(entries)
 			b.ReportAllocs()
 			for b.Loop() {
-				limiter.Pressing(now)
+				limiter.NearLimit(now)
 			}
 		})
 	}
--- a/internal/core/quota/estimate.go
+++ b/internal/core/quota/estimate.go
@@ -124,7 +124,7 @@
 
 // NearLimit reports whether an organisation is so close to its quota that the entries
 // should exchange totals more often.
-func (l *Limiter) Pressing(now time.Time) bool {
+func (l *Limiter) NearLimit(now time.Time) bool {
 	for organisation, limited := range l.limits {
 		base := l.base(limited)
 		if reported, assumed := l.used(now, organisation, base, base); reported+assumed > base*typicalUse {
--- a/internal/core/quota/peers.go
+++ b/internal/core/quota/peers.go
@@ -74,7 +74,7 @@
 	Started time.Time
 	// Unresponsive: nothing has been received from it within the failure-detection
 	// timeout.
-	Silent bool
+	Unresponsive bool
 }
 
 // SetPeers replaces the other entries that may be admitting requests.
@@ -85,10 +85,10 @@
 		if p == nil {
 			p = &peer{started: each.Started, knownSince: now, totalsAt: now, usage: make(map[string]*account)}
 		}
-		if p.unresponsive && !each.Silent {
+		if p.unresponsive && !each.Unresponsive {
 			p.recoveredAt = now
 		}
-		p.unresponsive = each.Silent
+		p.unresponsive = each.Unresponsive
 		kept[each.Name] = p
 	}
 	l.peers = kept
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -87,7 +87,7 @@
 type limit struct{ rate, burst float64 }
 
 // Result is the result of checking a request against the quota.
-type Verdict struct {
+type Result struct {
 	Admitted bool
 	// Used is the estimated usage in the window before this request, Limit its bound.
 	Used, Limit float64
@@ -113,7 +113,7 @@
 
 // SetPeersKnown sets whether SetPeers has named all other entries. Until then at least
 // assumedEntries are assumed to share the quotas.
-func (l *Limiter) SetListed(listed bool) { l.peersUnknown = !listed }
+func (l *Limiter) SetPeersKnown(listed bool) { l.peersUnknown = !listed }
 
 // SetOrganisations replaces the limits. Usage remains counted.
 func (l *Limiter) SetOrganisations(organisations []catalog.Organisation) {
@@ -129,11 +129,11 @@
 // admitted request the caller must call Sent or Withdraw afterwards. rank is the
 // importance of the request's route, 0 being the highest: an organisation that exceeds
 // its quota gets its important requests served instead of those that come first.
-func (l *Limiter) Admit(now time.Time, organisation string, cost float64, rank int) Verdict {
+func (l *Limiter) Admit(now time.Time, organisation string, cost float64, rank int) Result {
 	limited, found := l.limits[organisation]
 	if !found {
 		l.Reserve(now, organisation, cost)
-		return Verdict{Admitted: true}
+		return Result{Admitted: true}
 	}
 	base := l.base(limited)
 	bound := base + (base*l.config.Overshoot+l.config.Slack)*l.slackShare(now)
@@ -142,7 +142,7 @@
 	}
 	l.detectSurge(now, organisation, base, cost)
 	reported, assumed := l.used(now, organisation, base, bound)
-	result := Verdict{Used: reported + assumed, Limit: bound, Assumed: assumed}
+	result := Result{Used: reported + assumed, Limit: bound, Assumed: assumed}
 	if result.Used+cost > bound {
 		missing := result.Used + cost - bound
 		result.RetryAfter = min(l.config.Window/2, time.Duration(missing/limited.rate*float64(time.Second)))
@@ -155,12 +155,12 @@
 
 // Usage returns the usage of organisations with a quota, against their limits without
 // slack.
-func (l *Limiter) Usage(now time.Time) map[string]Verdict {
-	usage := make(map[string]Verdict, len(l.limits))
+func (l *Limiter) Usage(now time.Time) map[string]Result {
+	usage := make(map[string]Result, len(l.limits))
 	for organisation, limited := range l.limits {
 		base := l.base(limited)
 		reported, assumed := l.used(now, organisation, base, base)
-		usage[organisation] = Verdict{Used: reported + assumed, Limit: base, Assumed: assumed}
+		usage[organisation] = Result{Used: reported + assumed, Limit: base, Assumed: assumed}
 	}
 	return usage
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -137,7 +137,7 @@
 		for _, other := range f.entries {
 			if other != m {
 				unresponsive := m.partitioned || other.partitioned || other.down
-				peers = append(peers, quota.Peer{Name: other.name, Started: other.started, Silent: unresponsive})
+				peers = append(peers, quota.Peer{Name: other.name, Started: other.started, Unresponsive: unresponsive})
 			}
 		}
 		due := f.now.Sub(m.lastReport) >= f.reportInterval
@@ -300,7 +300,7 @@
 func otherEntries(started time.Time, unresponsive bool) []quota.Peer {
 	var peers []quota.Peer
 	for i := range 68 {
-		peers = append(peers, quota.Peer{Name: fmt.Sprint(i), Started: started, Silent: unresponsive})
+		peers = append(peers, quota.Peer{Name: fmt.Sprint(i), Started: started, Unresponsive: unresponsive})
 	}
 	return peers
 }
@@ -330,7 +330,7 @@
 	l.SetPeers(now, peers)
 	now = now.Add(1500 * time.Millisecond)
 	for i := range peers {
-		peers[i].Silent = false
+		peers[i].Unresponsive = false
 		l.PeerTotals(now, peers[i].Name, started, map[string]quota.Total{organisation: {Admitted: typicalRate * 60 / 69, Sent: typicalRate * 60 / 69}}, false)
 	}
 	l.SetPeers(now, peers)
@@ -404,7 +404,7 @@
 	admitted := 0.0
 	for range 6 {
 		l := newLimiter(now)
-		l.SetListed(false)
+		l.SetPeersKnown(false)
 		later := now.Add(3 * time.Second)
 		for l.Admit(later, organisation, 2000, 0).Admitted {
 			admitted += 2000
--- a/internal/core/quota/randomfaults_test.go
+++ b/internal/core/quota/randomfaults_test.go
@@ -89,7 +89,7 @@
 		if found {
 			started = other.started
 		}
-		peers = append(peers, quota.Peer{Name: fmt.Sprint(j), Started: started, Silent: !found || s.now.Sub(last) >= heartbeatTimeout})
+		peers = append(peers, quota.Peer{Name: fmt.Sprint(j), Started: started, Unresponsive: !found || s.now.Sub(last) >= heartbeatTimeout})
 	}
 	s.entries[i].limiter.SetPeers(s.now, peers)
 }
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -78,7 +78,7 @@
 	if m == pace {
 		return o.Pace
 	}
-	return o.First
+	return o.FirstEvent
 }
 
 // baselineKey identifies times of a target that can be compared with each other. The times
@@ -90,7 +90,7 @@
 }
 
 func keyOf(m measure, o *Observation) baselineKey {
-	if o.First > 0 {
+	if o.FirstEvent > 0 {
 		return baselineKey{measure: m}
 	}
 	return baselineKey{m, o.Route}
@@ -183,7 +183,7 @@
 		e.targets[o.Target] = t
 		e.inOrder = append(e.inOrder, t)
 	}
-	if o.Severed {
+	if o.ConnectionLost {
 		// A server that crashes aborts all its requests. That is one event: counted for each
 		// request, one crash would reject a version.
 		if now.Sub(t.lastSevered) < sliceLength {
@@ -193,7 +193,7 @@
 	}
 	e.addTimes(t, &o)
 	if !o.New {
-		e.oldTimes.add(float64(o.Took), maxOldTimes)
+		e.oldTimes.add(float64(o.Duration), maxOldTimes)
 	}
 	s := sample{Observation: o, slice: int64(now.Sub(e.start) / sliceLength)}
 	tally := e.tallyOf(&s)
--- a/internal/core/rollout/evidence_test.go
+++ b/internal/core/rollout/evidence_test.go
@@ -39,7 +39,7 @@
 		for range 40 {
 			report.Old = append(report.Old, observe(false, 0.1))
 		}
-		judge.Take(now, "entry", 1, report)
+		judge.AddReport(now, "entry", 1, report)
 		if decision = judge.Decide(now, rollout.Canary, now.Sub(startTime), []string{"entry"}); decision.Action != rollout.Wait {
 			break
 		}
@@ -57,7 +57,7 @@
 		report.Old = append(report.Old, rollout.Observation{Number: n + 1, Target: 1 + uint32(n%2), Load: 1, Pace: time.Millisecond})
 		report.New = append(report.New, rollout.Observation{Number: n + 1, Target: 9, New: true, Load: 1, Pace: 3 * time.Millisecond})
 	}
-	judge.Take(startTime, "entry", 1, report)
+	judge.AddReport(startTime, "entry", 1, report)
 	w.Expect(judge.Decide(startTime, rollout.Canary, time.Second, nil).Action).To(Equal(rollout.Wait))
 }
 
@@ -87,7 +87,7 @@
 	w := NewWithT(t)
 	decide := func(news ...int) rollout.Action {
 		judge := rollout.NewJudge(startTime, rollout.Order{ID: 5, Duration: 12 * time.Second})
-		judge.Take(startTime, "entry", 1, mixedSpeedReport(news))
+		judge.AddReport(startTime, "entry", 1, mixedSpeedReport(news))
 		return judge.Decide(startTime, rollout.Canary, time.Second, nil).Action
 	}
 	w.Expect(decide(50, 50, 50, 50, 225, 225)).To(Equal(rollout.RollBack))
--- a/internal/core/rollout/judge.go
+++ b/internal/core/rollout/judge.go
@@ -116,8 +116,8 @@
 // Order returns the order of the roll-out.
 func (j *Judge) Order() Order { return j.order }
 
-// Take adds an entry's report.
-func (j *Judge) Take(now time.Time, entry string, incarnation uint64, r Report) {
+// AddReport adds an entry's report.
+func (j *Judge) AddReport(now time.Time, entry string, incarnation uint64, r Report) {
 	if r.Order != j.order.ID {
 		return
 	}
@@ -214,7 +214,7 @@
 func (j *Judge) drained(now time.Time, live []string) bool {
 	for _, name := range live {
 		last, found := j.entries[name]
-		if !found || now.Sub(last.at) > maxReportAge || last.report.Phase < Shifting || last.report.OldEngaged > 0 {
+		if !found || now.Sub(last.at) > maxReportAge || last.report.Phase < Shifting || last.report.OldOutstanding > 0 {
 			return false
 		}
 	}
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -107,21 +107,21 @@
 	// Failed: the target answered with an error of its own, or aborted the answer.
 	// ConnectionLost: the connection was lost or timed out, which ends all requests on it at
 	// once.
-	Failed, Severed bool
+	Failed, ConnectionLost bool
 	// Pace is the mean interval between the events of a stream, or the time to an answer
 	// that is not streamed. FirstEvent is the time to the first event of a stream, per 1,000
 	// tokens that had to be read. 0: not measured.
-	Pace, First time.Duration
-	// Took is how long the request was at the target.
-	Took time.Duration
+	Pace, FirstEvent time.Duration
+	// Duration is how long the request was at the target.
+	Duration time.Duration
 }
 
 // Report is sent by each entry to the leader.
 type Report struct {
 	Order int64
 	Phase Phase
-	// OldEngaged is the entry's number of requests that run at old servers or wait for one.
-	OldEngaged int
+	// OldOutstanding is the entry's number of requests that run at old servers or wait for one.
+	OldOutstanding int
 	// New and Old are the latest observations of each version, oldest first. They overlap
 	// with earlier reports, because reports may be lost or may have gone to another leader.
 	New, Old []Observation
--- a/internal/core/rollout/simulation_test.go
+++ b/internal/core/rollout/simulation_test.go
@@ -211,7 +211,7 @@
 		}
 	}
 	key := placementKey{e.tracker.Phase(), down, true}
-	if e.placedFor == key && !e.tracker.TurnDue(m.now) {
+	if e.placedFor == key && !e.tracker.RotationDue(m.now) {
 		return
 	}
 	e.placedFor = key
@@ -285,7 +285,7 @@
 	}
 	pool := "engines"
 	if e.tracker.UsesNew(m.now, uint32(route), m.rng.Float64()) {
-		pool = e.tracker.NewPool()
+		pool = e.tracker.NewVersionPool()
 	}
 	s := leastLoaded(e.pools[pool])
 	if pool != "engines" && e.tracker.Phase() == rollout.Canary && (s == nil || s.inFlight >= s.Slots) {
@@ -357,15 +357,15 @@
 		if !isNew {
 			e.oldOutstanding--
 		}
-		o := rollout.Observation{Route: uint32(route), Target: rollout.TargetKey(s.ID), New: isNew, Load: load, Loaded: 2*load > s.Slots, Failed: failed || severed, Severed: severed, Took: took}
+		o := rollout.Observation{Route: uint32(route), Target: rollout.TargetKey(s.ID), New: isNew, Load: load, Loaded: 2*load > s.Slots, Failed: failed || severed, ConnectionLost: severed, Duration: took}
 		if !o.Failed {
 			o.Pace = took
 			if m.load.streams {
 				o.Pace = took / 20
-				o.First = time.Duration(first * float64(time.Second))
+				o.FirstEvent = time.Duration(first * float64(time.Second))
 			}
 		}
-		e.tracker.Observed(o)
+		e.tracker.AddObservation(o)
 	}
 	m.after(took, func() { done(s.stops != stops) })
 }
@@ -392,10 +392,10 @@
 	leader, report, incarnation := m.entries[m.leader], e.tracker.Report(e.oldOutstanding), e.incarnation
 	m.after(networkDelay, func() {
 		if m.reaches(e, leader) && m.judge != nil {
-			m.judge.Take(m.now, fmt.Sprint(e.index), incarnation, report)
+			m.judge.AddReport(m.now, fmt.Sprint(e.index), incarnation, report)
 		}
 	})
-	if e.tracker.LeaderSilent(m.now) && !e.tracker.Phase().Final() {
+	if e.tracker.LeaderTimedOut(m.now) && !e.tracker.Phase().Final() {
 		m.readStore(e)
 	}
 }
@@ -404,7 +404,7 @@
 	if m.judge == nil {
 		m.judge = rollout.NewJudge(m.now, m.order)
 	}
-	m.judge.Take(m.now, fmt.Sprint(e.index), e.incarnation, e.tracker.Report(e.oldOutstanding))
+	m.judge.AddReport(m.now, fmt.Sprint(e.index), e.incarnation, e.tracker.Report(e.oldOutstanding))
 	var live []string
 	for _, other := range m.entries {
 		if !m.now.Before(other.downUntil) && (other == e || m.reaches(e, other) || m.reaches(e, other)) {
@@ -458,11 +458,11 @@
 
 func (m *sim) broadcast(from *entry, halt bool) {
 	step := rollout.Step{Order: m.order.ID, Phase: from.tracker.Phase(), Halt: halt, Elapsed: from.tracker.Elapsed(m.now)}
-	from.tracker.Heard(m.now, step)
+	from.tracker.ApplyStep(m.now, step)
 	for _, e := range m.entries {
 		m.after(networkDelay, func() {
 			if e != from && m.reaches(from, e) {
-				e.tracker.Heard(m.now, step)
+				e.tracker.ApplyStep(m.now, step)
 				m.placeTargets(e)
 			}
 		})
--- a/internal/core/rollout/tracker.go
+++ b/internal/core/rollout/tracker.go
@@ -105,12 +105,12 @@
 	return Record{Order: t.order, Phase: t.phase, From: t.from, Began: t.began}
 }
 
-// Renumber sets the id of the order after the operators have written it again under another
+// SetOrderID sets the id of the order after the operators have written it again under another
 // one.
-func (t *Tracker) Renumber(id int64) { t.order.ID = id }
+func (t *Tracker) SetOrderID(id int64) { t.order.ID = id }
 
-// Heard applies a step of the leader. It reports whether the phase has changed.
-func (t *Tracker) Heard(now time.Time, s Step) bool {
+// ApplyStep applies a step of the leader. It reports whether the phase has changed.
+func (t *Tracker) ApplyStep(now time.Time, s Step) bool {
 	if s.Order != t.order.ID || s.Phase < t.phase {
 		return false
 	}
@@ -129,16 +129,16 @@
 	return changed
 }
 
-// LeaderSilent reports whether the leader has been silent for so long that this entry has to
+// LeaderTimedOut reports whether the leader has been silent for so long that this entry has to
 // act without it.
-func (t *Tracker) LeaderSilent(now time.Time) bool {
+func (t *Tracker) LeaderTimedOut(now time.Time) bool {
 	limit := min(maxLeaderTimeout, time.Duration(leaderTimeoutShare*float64(t.bounds.StopWithin)))
 	return now.Sub(t.lastStep) > limit
 }
 
 // canaryOpen reports whether requests may go to the canary.
 func (t *Tracker) canaryOpen(now time.Time) bool {
-	return t.phase == Canary && !t.halted && !t.LeaderSilent(now)
+	return t.phase == Canary && !t.halted && !t.LeaderTimedOut(now)
 }
 
 // Requests returns the number of requests that UsesNew was called for, and of those that
@@ -157,10 +157,10 @@
 	return toNew
 }
 
-// RepeatsOnNew reports whether the retry of a request goes to the new version. Retries go to
+// RetriesOnNew reports whether the retry of a request goes to the new version. Retries go to
 // the version that has the traffic, since a second failure, at the canary, would reach the
 // caller.
-func (t *Tracker) RepeatsOnNew() bool {
+func (t *Tracker) RetriesOnNew() bool {
 	return t.phase == Completed || t.phase == Shifting && !t.halted
 }
 
@@ -235,8 +235,8 @@
 	return min(maxChance, chance)
 }
 
-// Observed adds an observation.
-func (t *Tracker) Observed(o Observation) {
+// AddObservation adds an observation.
+func (t *Tracker) AddObservation(o Observation) {
 	t.number++
 	o.Number = t.number
 	if o.New {
@@ -255,11 +255,11 @@
 
 // Report returns the report to the leader; oldEngaged is as in Report.
 func (t *Tracker) Report(oldEngaged int) Report {
-	return Report{Order: t.order.ID, Phase: t.phase, OldEngaged: oldEngaged, New: slices.Clone(t.recentNew), Old: slices.Clone(t.recentOld)}
+	return Report{Order: t.order.ID, Phase: t.phase, OldOutstanding: oldEngaged, New: slices.Clone(t.recentNew), Old: slices.Clone(t.recentOld)}
 }
 
-// NewPool returns the name of the pool in which the new version's targets are scheduled.
-func (t *Tracker) NewPool() string { return t.order.Service + "@" + t.order.To }
+// NewVersionPool returns the name of the pool in which the new version's targets are scheduled.
+func (t *Tracker) NewVersionPool() string { return t.order.Service + "@" + t.order.To }
 
 // Place assigns a service's targets to the pool of their version and leaves out those that
 // must not get requests. current is the pool of the old versions.
@@ -267,7 +267,7 @@
 	var placed, newTargets []catalog.Target
 	t.placed, t.oldTargets, t.rotation = true, 0, t.rotationAt(now)
 	if t.phase < Completed {
-		t.others = Froms(targets, t.order.To)
+		t.others = OtherVersions(targets, t.order.To)
 	}
 	for _, target := range targets {
 		switch {
@@ -277,7 +277,7 @@
 		case t.phase == Completed && slices.Contains(t.from, target.Version):
 			continue
 		case t.phase == Completed:
-			target.Service = t.NewPool()
+			target.Service = t.NewVersionPool()
 		default:
 			target.Service = current
 			if !target.Leaving {
@@ -294,7 +294,7 @@
 	}
 	t.canaryTargets = len(newTargets)
 	for _, target := range newTargets {
-		target.Service = t.NewPool()
+		target.Service = t.NewVersionPool()
 		placed = append(placed, target)
 	}
 	return placed
@@ -325,13 +325,13 @@
 // slow is mistaken for a slow one. The more servers are observed, the sooner one stands out.
 func (t *Tracker) rotationAt(now time.Time) int { return int(t.Elapsed(now) / rotationPeriod) }
 
-// TurnDue reports whether the targets have to be placed again because the canary rotates.
-func (t *Tracker) TurnDue(now time.Time) bool {
+// RotationDue reports whether the targets have to be placed again because the canary rotates.
+func (t *Tracker) RotationDue(now time.Time) bool {
 	return t.placed && t.phase <= Canary && t.rotation != t.rotationAt(now)
 }
 
-// Froms returns the versions of targets other than the new one, sorted.
-func Froms(targets []catalog.Target, to string) []string {
+// OtherVersions returns the versions of targets other than the new one, sorted.
+func OtherVersions(targets []catalog.Target, to string) []string {
 	var versions []string
 	for _, target := range targets {
 		if target.Version != to && !slices.Contains(versions, target.Version) {
--- a/internal/core/rollout/tracker_test.go
+++ b/internal/core/rollout/tracker_test.go
@@ -26,7 +26,7 @@
 // targets.
 func newTracker(phase rollout.Phase) *rollout.Tracker {
 	t := rollout.NewTracker(startTime, rollout.Order{ID: 5, Service: "engines", To: "v2", Duration: 12 * time.Second}, rollout.Bounds{ExposureShare: 0.1, StopWithin: 5 * time.Second})
-	t.Heard(startTime, rollout.Step{Order: 5, Phase: phase})
+	t.ApplyStep(startTime, rollout.Step{Order: 5, Phase: phase})
 	t.Place(startTime, append(targetsOf("v1", 60), targetsOf("v2", 60)...), "engines")
 	return t
 }
@@ -47,7 +47,7 @@
 	tracker := newTracker(rollout.Canary)
 	w.Expect(tracker.UsesNew(startTime.Add(time.Second), 1, 0)).To(BeTrue())
 	w.Expect(tracker.UsesNew(startTime.Add(2*time.Second), 1, 0)).To(BeFalse())
-	tracker.Heard(startTime.Add(3*time.Second), rollout.Step{Order: 5, Phase: rollout.Canary})
+	tracker.ApplyStep(startTime.Add(3*time.Second), rollout.Step{Order: 5, Phase: rollout.Canary})
 	w.Expect(tracker.UsesNew(startTime.Add(3*time.Second), 1, 0)).To(BeTrue())
 }
 
@@ -56,9 +56,9 @@
 func TestPhasesOnlyAdvance(t *testing.T) {
 	w := NewWithT(t)
 	tracker := newTracker(rollout.Completed)
-	w.Expect(tracker.Heard(startTime, rollout.Step{Order: 5, Phase: rollout.Canary})).To(BeFalse())
+	w.Expect(tracker.ApplyStep(startTime, rollout.Step{Order: 5, Phase: rollout.Canary})).To(BeFalse())
 	w.Expect(tracker.Restore(startTime, rollout.Record{Order: rollout.Order{ID: 5}, Phase: rollout.Shifting})).To(BeFalse())
-	w.Expect(tracker.Heard(startTime, rollout.Step{Order: 4, Phase: rollout.RolledBack})).To(BeFalse())
+	w.Expect(tracker.ApplyStep(startTime, rollout.Step{Order: 4, Phase: rollout.RolledBack})).To(BeFalse())
 	w.Expect(tracker.Phase()).To(Equal(rollout.Completed))
 }
 
@@ -78,7 +78,7 @@
 func TestStoppedTargetsReceiveNoRequests(t *testing.T) {
 	w := NewWithT(t)
 	tracker := newTracker(rollout.Shifting)
-	w.Expect(tracker.Heard(startTime, rollout.Step{Order: 5, Phase: rollout.Completed})).To(BeTrue())
+	w.Expect(tracker.ApplyStep(startTime, rollout.Step{Order: 5, Phase: rollout.Completed})).To(BeTrue())
 	all := append(append(targetsOf("v1", 60), targetsOf("v2", 60)...), targetsOf("v3", 2)...)
 	w.Expect(pools(tracker.Place(startTime, all, "engines"))).To(Equal(map[string]int{"engines@v2 v2": 60, "engines@v2 v3": 2}))
 }
@@ -130,15 +130,15 @@
 	seen := make(map[string]bool)
 	for rotation := range 3 {
 		now := startTime.Add(time.Duration(rotation)*4500*time.Millisecond + time.Second)
-		w.Expect(tracker.TurnDue(now)).To(Equal(rotation > 0))
+		w.Expect(tracker.RotationDue(now)).To(Equal(rotation > 0))
 		placed := tracker.Place(now, all, "engines")
 		w.Expect(newTracker(rollout.Canary).Place(now, all, "engines")).To(Equal(placed))
 		for _, target := range placed[60:] {
 			seen[target.ID] = true
 		}
-		w.Expect(tracker.TurnDue(now)).To(BeFalse())
+		w.Expect(tracker.RotationDue(now)).To(BeFalse())
 	}
 	w.Expect(seen).To(HaveLen(18))
-	tracker.Heard(startTime.Add(10*time.Second), rollout.Step{Order: 5, Phase: rollout.Shifting})
-	w.Expect(tracker.TurnDue(startTime.Add(20 * time.Second))).To(BeFalse())
+	tracker.ApplyStep(startTime.Add(10*time.Second), rollout.Step{Order: 5, Phase: rollout.Shifting})
+	w.Expect(tracker.RotationDue(startTime.Add(20 * time.Second))).To(BeFalse())
 }
--- a/internal/core/rollout/versions.go
+++ b/internal/core/rollout/versions.go
@@ -25,8 +25,8 @@
 	return &Versions{inUse: make(map[string]map[string]bool), firstSeen: make(map[string]map[string]time.Time)}
 }
 
-// Settled reports whether a version of a service is in use.
-func (v *Versions) Settled(service, version string) bool { return v.inUse[service][version] }
+// InUse reports whether a version of a service is in use.
+func (v *Versions) InUse(service, version string) bool { return v.inUse[service][version] }
 
 // Usable returns the targets of one service that may be used, and whether others are held
 // back. The orders have been read up to ordersAsOf. served reports whether the service has
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -56,7 +56,7 @@
 
 // LastCandidate reports whether at most one target of the pool remains for the request,
 // so that a refusal by that target is final.
-func (r *Router) Last(now time.Time, req *request.Request, exclude func(target string) bool) bool {
+func (r *Router) LastCandidate(now time.Time, req *request.Request, exclude func(target string) bool) bool {
 	q, status := r.newQuery(now, req, exclude)
 	if !status.OK() {
 		return true
--- a/internal/core/routing/router_test.go
+++ b/internal/core/routing/router_test.go
@@ -47,11 +47,11 @@
 				return true
 			}
 		}
-		Expect(r.Last(start, newRequest(9, 9), nil)).To(BeFalse())
-		Expect(r.Last(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeFalse())
-		Expect(r.Last(start, newRequest(9, 9), allBut("t2"))).To(BeTrue())
+		Expect(r.LastCandidate(start, newRequest(9, 9), nil)).To(BeFalse())
+		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeFalse())
+		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t2"))).To(BeTrue())
 		r.Reachable("t1", false)
-		Expect(r.Last(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeTrue())
+		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeTrue())
 	})
 
 	It("is the same for the same seed and inputs", func() {
@@ -78,9 +78,9 @@
 			d.Available = false
 			r.Digest(start, d)
 		}
-		Expect(r.Last(start, newRequest(9, 9), nil)).To(BeTrue())
+		Expect(r.LastCandidate(start, newRequest(9, 9), nil)).To(BeTrue())
 		r.Configure(poolOf(4, 0))
-		Expect(r.Last(start, newRequest(9, 9), nil)).To(BeFalse(), "the fourth target is new")
+		Expect(r.LastCandidate(start, newRequest(9, 9), nil)).To(BeFalse(), "the fourth target is new")
 		r.Configure(poolOf(2, 0))
 		_, status := r.Choose(start, newRequest(9, 9), nil)
 		Expect(status).To(Equal(NoneAvailable))
--- a/internal/core/scheduler/invariants_test.go
+++ b/internal/core/scheduler/invariants_test.go
@@ -49,7 +49,7 @@
 	if m.Settled && m.Reason == outcome.ReasonDeadline {
 		w.checkDeadlineRefusal(m)
 	}
-	if !m.Settled || !m.Reason.Load() || m.Reason == outcome.ReasonDeadlinePassed || m.Reason == outcome.ReasonDeadline {
+	if !m.Settled || !m.Reason.CapacityRelated() || m.Reason == outcome.ReasonDeadlinePassed || m.Reason == outcome.ReasonDeadline {
 		return
 	}
 	c := w.requests[m.ID]
--- a/internal/core/suspects/suspects.go
+++ b/internal/core/suspects/suspects.go
@@ -65,7 +65,7 @@
 	// Suspect: the request may run only where no other suspect runs.
 	Suspect
 	// Quarantined: the request is refused as "not run".
-	Convicted
+	Quarantined
 )
 
 // Effect is an action for the caller: a message to all peers, a record for the log, or
@@ -136,7 +136,7 @@
 // Crash records that a target crashed while it ran these requests. The crashID must be
 // the same at all entries that observe this crash of the target, and differ from that
 // of its next crash.
-func (s *Suspects) Death(now time.Time, target, crashID string, running []request.Fingerprint) []Effect {
+func (s *Suspects) Crash(now time.Time, target, crashID string, running []request.Fingerprint) []Effect {
 	s.expire(now)
 	burst := s.recordCrash(now, target)
 	name := target + "/" + crashID
@@ -153,14 +153,14 @@
 }
 
 // Check reports how a request may run.
-func (s *Suspects) Judge(now time.Time, fingerprint request.Fingerprint) Result {
+func (s *Suspects) Check(now time.Time, fingerprint request.Fingerprint) Result {
 	s.expire(now)
 	e := s.find(now, fingerprint)
 	switch {
 	case e == nil || len(e.crashes) == 0 && !e.quarantined:
 		return Clean
 	case e.quarantined:
-		return Convicted
+		return Quarantined
 	}
 	s.suspected.MoveToBack(s.entries[fingerprint])
 	return Suspect
--- a/internal/core/suspects/suspects_test.go
+++ b/internal/core/suspects/suspects_test.go
@@ -27,17 +27,17 @@
 	// completed, are clean. Peers and the log are informed.
 	It("quarantines a crashing request at its second crash, under any id", func() {
 		s := suspects.New(suspects.Config{})
-		Expect(s.Death(start, "t1", "1", running(crashing, other, third, crashing))).To(HaveLen(3))
-		Expect(s.Judge(start, crashing)).To(Equal(suspects.Suspect))
+		Expect(s.Crash(start, "t1", "1", running(crashing, other, third, crashing))).To(HaveLen(3))
+		Expect(s.Check(start, crashing)).To(Equal(suspects.Suspect))
 		cleared := s.Completed(at(time.Second), other)
 		Expect(cleared[0].Share.Cleared).To(BeTrue())
-		effects := s.Death(at(5*time.Second), "t2", "1", running(crashing, 9))
+		effects := s.Crash(at(5*time.Second), "t2", "1", running(crashing, 9))
 		Expect(effects).To(HaveLen(2))
 		Expect(effects[0].Append).To(Equal(&record.Verdict{Fingerprint: crashing, Deaths: []string{"t1/1", "t2/1"}}))
 		Expect(effects[0].Share.Convicted).To(BeTrue())
-		Expect(s.Judge(at(6*time.Second), crashing)).To(Equal(suspects.Convicted))
-		Expect(s.Judge(at(6*time.Second), other)).To(Equal(suspects.Clean))
-		Expect(s.Judge(at(6*time.Second), 9)).To(Equal(suspects.Suspect))
+		Expect(s.Check(at(6*time.Second), crashing)).To(Equal(suspects.Quarantined))
+		Expect(s.Check(at(6*time.Second), other)).To(Equal(suspects.Clean))
+		Expect(s.Check(at(6*time.Second), 9)).To(Equal(suspects.Suspect))
 		Expect(s.Completed(at(6*time.Second), crashing)).To(BeEmpty())
 		Expect(s.QuarantinedFingerprints(at(6 * time.Second))).To(Equal(running(crashing)))
 		Expect(s.QuarantineLeft(at(6*time.Second), crashing)).To(Equal(suspects.DefaultQuarantine - time.Second))
@@ -47,33 +47,33 @@
 	// shares its own state. It is one crash and must not lead to quarantine.
 	It("counts a crash once, whoever reports it", func() {
 		s := suspects.New(suspects.Config{})
-		s.Death(start, "t1", "1", running(crashing))
-		Expect(s.Death(at(9*time.Second), "t1", "1", running(crashing))).To(BeEmpty())
+		s.Crash(start, "t1", "1", running(crashing))
+		Expect(s.Crash(at(9*time.Second), "t1", "1", running(crashing))).To(BeEmpty())
 		Expect(s.Merge(at(9*time.Second), message.Suspicion{Fingerprint: crashing, Deaths: []string{"t1/1"}})).To(BeEmpty())
-		Expect(s.Judge(at(9*time.Second), crashing)).To(Equal(suspects.Suspect))
+		Expect(s.Check(at(9*time.Second), crashing)).To(Equal(suspects.Suspect))
 	})
 
 	It("quarantines after two crashes observed by two entries", func() {
 		s, peer := suspects.New(suspects.Config{}), suspects.New(suspects.Config{})
-		share := s.Death(start, "t1", "1", running(crashing))[0].Share
-		peer.Death(at(5*time.Second), "t2", "1", running(crashing))
+		share := s.Crash(start, "t1", "1", running(crashing))[0].Share
+		peer.Crash(at(5*time.Second), "t2", "1", running(crashing))
 		effects := peer.Merge(at(5*time.Second), *share)
 		Expect(effects).To(HaveLen(1))
 		Expect(effects[0].Append).NotTo(BeNil())
 		Expect(s.Merge(at(5*time.Second), *effects[0].Share)).To(BeEmpty())
-		Expect(s.Judge(at(5*time.Second), crashing)).To(Equal(suspects.Convicted))
+		Expect(s.Check(at(5*time.Second), crashing)).To(Equal(suspects.Quarantined))
 	})
 
 	// A peer's report of a crash arrives after the answer that cleared it. The request
 	// must not become a suspect again.
 	It("does not count a cleared crash again", func() {
 		s, peer := suspects.New(suspects.Config{}), suspects.New(suspects.Config{})
-		late := *s.Death(start, "t1", "1", running(other))[0].Share
+		late := *s.Crash(start, "t1", "1", running(other))[0].Share
 		clearing := *s.Completed(start, other)[0].Share
 		peer.Merge(start, clearing)
 		Expect(peer.Merge(start, late)).To(BeEmpty())
-		Expect(peer.Judge(start, other)).To(Equal(suspects.Clean))
-		Expect(s.Death(start, "t1", "1", running(other))).To(BeEmpty())
+		Expect(peer.Check(start, other)).To(Equal(suspects.Clean))
+		Expect(s.Crash(start, "t1", "1", running(other))).To(BeEmpty())
 	})
 
 	// A zone fails and takes many targets down. A popular request ran on several of
@@ -85,22 +85,22 @@
 			if i >= 2 {
 				fp = append(fp, crashing)
 			}
-			s.Death(at(time.Duration(i)*100*time.Millisecond), target, "1", fp)
+			s.Crash(at(time.Duration(i)*100*time.Millisecond), target, "1", fp)
 		}
-		Expect(s.Judge(at(time.Second), crashing)).To(Equal(suspects.Suspect))
-		s.Death(at(time.Minute), "f", "1", running(crashing))
-		Expect(s.Judge(at(time.Minute), crashing)).To(Equal(suspects.Convicted))
+		Expect(s.Check(at(time.Second), crashing)).To(Equal(suspects.Suspect))
+		s.Crash(at(time.Minute), "f", "1", running(crashing))
+		Expect(s.Check(at(time.Minute), crashing)).To(Equal(suspects.Quarantined))
 	})
 
 	It("lets suspicions and quarantines expire", func() {
 		s := suspects.New(suspects.Config{Suspicion: time.Minute, Quarantine: time.Hour})
-		s.Death(start, "t1", "1", running(crashing, other))
-		s.Death(at(30*time.Second), "t2", "1", running(crashing))
-		Expect(s.Judge(at(time.Minute), other)).To(Equal(suspects.Clean))
-		s.Death(at(2*time.Minute), "t3", "1", running(other))
-		Expect(s.Judge(at(2*time.Minute), other)).To(Equal(suspects.Suspect), "two crashes far apart")
-		Expect(s.Judge(at(time.Hour+29*time.Second), crashing)).To(Equal(suspects.Convicted))
-		Expect(s.Judge(at(time.Hour+30*time.Second), crashing)).To(Equal(suspects.Clean))
+		s.Crash(start, "t1", "1", running(crashing, other))
+		s.Crash(at(30*time.Second), "t2", "1", running(crashing))
+		Expect(s.Check(at(time.Minute), other)).To(Equal(suspects.Clean))
+		s.Crash(at(2*time.Minute), "t3", "1", running(other))
+		Expect(s.Check(at(2*time.Minute), other)).To(Equal(suspects.Suspect), "two crashes far apart")
+		Expect(s.Check(at(time.Hour+29*time.Second), crashing)).To(Equal(suspects.Quarantined))
+		Expect(s.Check(at(time.Hour+30*time.Second), crashing)).To(Equal(suspects.Clean))
 		Expect(s.Len()).To(BeZero())
 	})
 
@@ -110,22 +110,22 @@
 		s := suspects.New(suspects.Config{Quarantine: time.Hour})
 		s.FromLog(start, 59*time.Minute, record.Verdict{Fingerprint: crashing})
 		s.FromLog(start, 2*time.Hour, record.Verdict{Fingerprint: other})
-		Expect(s.Judge(start, crashing)).To(Equal(suspects.Convicted))
-		Expect(s.Judge(start, other)).To(Equal(suspects.Clean))
-		Expect(s.Judge(at(time.Minute), crashing)).To(Equal(suspects.Clean))
+		Expect(s.Check(start, crashing)).To(Equal(suspects.Quarantined))
+		Expect(s.Check(start, other)).To(Equal(suspects.Clean))
+		Expect(s.Check(at(time.Minute), crashing)).To(Equal(suspects.Clean))
 	})
 
 	It("bounds its memory and never evicts a quarantined request", func() {
 		s := suspects.New(suspects.Config{Max: 3})
 		s.FromLog(start, 0, record.Verdict{Fingerprint: crashing})
 		for fp := request.Fingerprint(10); fp < 100; fp++ {
-			s.Death(at(time.Duration(fp)*2*time.Second), "t", string(rune(fp)), running(fp))
+			s.Crash(at(time.Duration(fp)*2*time.Second), "t", string(rune(fp)), running(fp))
 			Expect(s.Len()).To(BeNumerically("<=", 3))
 		}
 		now := at(200 * time.Second)
-		Expect(s.Judge(now, crashing)).To(Equal(suspects.Convicted))
-		Expect(s.Judge(now, 99)).To(Equal(suspects.Suspect))
-		Expect(s.Judge(now, 97)).To(Equal(suspects.Clean))
+		Expect(s.Check(now, crashing)).To(Equal(suspects.Quarantined))
+		Expect(s.Check(now, 99)).To(Equal(suspects.Suspect))
+		Expect(s.Check(now, 97)).To(Equal(suspects.Clean))
 		s.FromLog(now, 0, record.Verdict{Fingerprint: 98})
 		s.FromLog(now, 0, record.Verdict{Fingerprint: 99})
 		s.FromLog(now, 0, record.Verdict{Fingerprint: other})
--- a/internal/gateway/digest.go
+++ b/internal/gateway/digest.go
@@ -41,7 +41,7 @@
 		}
 		pause = digestPause
 		cells := l.cells.Load()
-		if !cells.Relays {
+		if !cells.IsRelay {
 			continue
 		}
 		if l.pressing() {
@@ -54,7 +54,7 @@
 func (l *links) pressing() bool {
 	l.gateway.state.mutex.Lock()
 	defer l.gateway.state.mutex.Unlock()
-	return l.gateway.state.quota.Pressing(time.Now())
+	return l.gateway.state.quota.NearLimit(time.Now())
 }
 
 // sendDigests sends the digests to one entry of each other cell. Which entry it is changes
@@ -69,7 +69,7 @@
 		return
 	}
 	var to []peerset.Entry
-	for _, cell := range cells.Others {
+	for _, cell := range cells.OtherCells {
 		if len(cell) > 0 {
 			to = append(to, cell[(round+cells.Own)%len(cell)])
 		}
@@ -96,7 +96,7 @@
 	defer g.state.mutex.Unlock()
 	now := time.Now()
 	own := g.state.quota.Totals()
-	members := g.state.peers.Relayed(now)
+	members := g.state.peers.RelayedMembers(now)
 	totals := []map[string]quota.Total{own}
 	for _, m := range members {
 		totals = append(totals, g.state.quota.TotalsOf(m.Name))
@@ -108,8 +108,8 @@
 	})
 	for _, m := range members {
 		statuses = append(statuses, gossip.Word{
-			Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, AgeMS: m.Heard.Sub(m.Started).Milliseconds(),
-			SilentMS: now.Sub(m.Heard).Milliseconds(), State: uint8(m.State), Blind: m.Blind, Version: m.Version,
+			Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, AgeMS: m.LastContact.Sub(m.Started).Milliseconds(),
+			SilentMS: now.Sub(m.LastContact).Milliseconds(), State: uint8(m.State), Blind: m.StoreDisconnected, Version: m.Version,
 		})
 	}
 	for i := range statuses {
@@ -168,9 +168,9 @@
 		w := &m.Digest.Words[i]
 		readTotals(totals, m.Digest.Organisations, w)
 		latest = max(latest, w.Version)
-		change := l.applyStatus(now, now.Add(-milliseconds(w.SilentMS)), peerset.Word{
+		change := l.applyStatus(now, now.Add(-milliseconds(w.SilentMS)), peerset.Status{
 			Entry: peerset.Entry{Name: w.Name, Incarnation: w.Incarnation}, Relayed: true,
-			State: peerset.State(w.State), Sequence: w.Sequence, Age: milliseconds(w.AgeMS), Blind: w.Blind, Version: w.Version,
+			State: peerset.State(w.State), Sequence: w.Sequence, Age: milliseconds(w.AgeMS), StoreDisconnected: w.Blind, Version: w.Version,
 		}, totals, m.Digest.Partial)
 		unknown = unknown || change.Unknown
 	}
--- a/internal/gateway/feeds_test.go
+++ b/internal/gateway/feeds_test.go
@@ -58,7 +58,7 @@
 		g.state.mutex.Lock()
 		defer g.state.mutex.Unlock()
 		known, found := g.state.rollouts.services["desk"]
-		assigned = found && g.state.sched.HasFreeSlot(time.Now(), known.tracker.NewPool())
+		assigned = found && g.state.sched.HasFreeSlot(time.Now(), known.tracker.NewVersionPool())
 		return nil
 	}
 	g.feeds.applyTargets(feed.Update{Topic: feed.Targets, Reset: true, Replicated: true, Records: []feed.Record{{Key: "i-1", Value: []byte("{}")}}})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,12 +118,12 @@
 		quota:       quota.New(quotaConfig(s.Bounds), now),
 		budget:      budget.New(budgetConfig(s.Bounds), now),
 		crashes:     crashes.New(),
-		peers:       peerset.New(peerset.Config{Silence: failureTimeout, RelayedSilence: relayedFailureTimeout, Removal: removalTimeout}, g.self),
+		peers:       peerset.New(peerset.Config{FailureTimeout: failureTimeout, RelayedFailureTimeout: relayedFailureTimeout, Removal: removalTimeout}, g.self),
 		waiters:     make(map[*dispatch.Ticket]chan slotResult),
 		loadUrgent:  make(chan struct{}, 1),
 		loadChanged: make(chan struct{}, 1),
 	}
-	g.state.quota.SetListed(false)
+	g.state.quota.SetPeersKnown(false)
 	g.state.rollouts = newRollouts(g)
 	g.feeds = newFeeds(g)
 	return g
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -150,7 +150,7 @@
 		return entriesOf(peers.Members())
 	}
 	to := l.cells.Load().Audience
-	if probed, found := peers.Probed(time.Now(), l.heartbeatCount); found {
+	if probed, found := peers.NextProbe(time.Now(), l.heartbeatCount); found {
 		return append(slices.Clone(to), probed)
 	}
 	return to
@@ -234,7 +234,7 @@
 	members := g.state.peers.Members()
 	peers := make([]quota.Peer, 0, len(members))
 	for _, m := range members {
-		peers = append(peers, quota.Peer{Name: m.Name, Started: m.Started, Silent: !g.state.peers.Live(now, m.Name)})
+		peers = append(peers, quota.Peer{Name: m.Name, Started: m.Started, Unresponsive: !g.state.peers.Live(now, m.Name)})
 	}
 	g.state.quota.SetPeers(now, peers)
 	cells := g.state.peers.Cells(now, g.ready())
@@ -254,10 +254,10 @@
 	l.gateway.state.mutex.Lock()
 	defer l.gateway.state.mutex.Unlock()
 	for _, entry := range entries {
-		l.gateway.state.peers.Registered(now, entry)
+		l.gateway.state.peers.AddRegistered(now, entry)
 	}
 	l.setPeers(now)
-	l.gateway.state.quota.SetListed(true)
+	l.gateway.state.quota.SetPeersKnown(true)
 }
 
 // prune removes entries that have been unresponsive for long.
--- a/internal/gateway/loadreport.go
+++ b/internal/gateway/loadreport.go
@@ -43,7 +43,7 @@
 		totals := l.gateway.state.quota.TotalsSince(time.Now().Add(-totalsFor))
 		l.gateway.state.mutex.Unlock()
 		idle = len(load.InFlight) == 0 && len(load.Unresponsive) == 0 && len(load.Limits) == 0
-		l.send(l.loadReport(load, totals), l.cells.Load().Mates)
+		l.send(l.loadReport(load, totals), l.cells.Load().Peers)
 		time.Sleep(loadPause)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -75,7 +75,7 @@
 
 // reportShares updates the gauges of what all entries share: quotas, services and retry
 // budgets.
-func (g *Gateway) reportShares(quotas map[string]quota.Verdict, services []dispatch.ServiceLoad, repeats map[string]float64) {
+func (g *Gateway) reportShares(quotas map[string]quota.Result, services []dispatch.ServiceLoad, repeats map[string]float64) {
 	m := g.metrics
 	for organisation, usage := range quotas {
 		m.QuotaUsed(organisation, usage.Used/usage.Limit, usage.Assumed/usage.Limit)
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	readers := g.readers()
-	able := len(readers) > 0 && readers[0].State == peerset.Ready && !readers[0].Blind
+	able := len(readers) > 0 && readers[0].State == peerset.Ready && !readers[0].StoreDisconnected
 	if able && (!g.ready() || g.feeds.isStoreDisconnected()) {
 		g.links.setReader("another")
 		return false
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -58,9 +58,9 @@
 
 func (l *links) handleHeartbeat(m *gossip.Message) {
 	h := m.Heartbeat
-	status := peerset.Word{
+	status := peerset.Status{
 		Entry: peerset.Entry{Name: m.From, Incarnation: m.Incarnation, Zone: h.Zone, Callers: h.Callers, Links: h.Links},
-		State: peerset.State(h.State), Sequence: m.Sequence, Age: milliseconds(m.AgeMS), Blind: h.Blind, Version: h.Version,
+		State: peerset.State(h.State), Sequence: m.Sequence, Age: milliseconds(m.AgeMS), StoreDisconnected: h.Blind, Version: h.Version,
 	}
 	now := time.Now()
 	l.gateway.state.mutex.Lock()
@@ -74,10 +74,10 @@
 
 // applyStatus records an entry's status and its totals, both as of the time at. partial:
 // totals holds only some of the entry's totals. The caller holds the state's mutex.
-func (l *links) applyStatus(now, at time.Time, status peerset.Word, totals map[string]quota.Total, partial bool) peerset.News {
+func (l *links) applyStatus(now, at time.Time, status peerset.Status, totals map[string]quota.Total, partial bool) peerset.Update {
 	g := l.gateway
-	change := g.state.peers.Heard(now, at, status)
-	if change.Old || change.Unknown {
+	change := g.state.peers.ApplyStatus(now, at, status)
+	if change.Outdated || change.Unknown {
 		return change
 	}
 	if change.Replaced {
@@ -98,10 +98,10 @@
 // several cells only the entries of its own cell, the relays, and the entries that had lost
 // contact with it do so: if all entries greeted each other when all start at once, the number
 // of greetings would be the square of the fleet.
-func (l *links) greet(entry peerset.Entry, change peerset.News) {
+func (l *links) greet(entry peerset.Entry, change peerset.Update) {
 	cells := l.cells.Load()
 	inCell := slices.ContainsFunc(cells.Audience, func(e peerset.Entry) bool { return e.Name == entry.Name })
-	if cells.Count > 1 && !inCell && !cells.Relays && !change.Returned {
+	if cells.Count > 1 && !inCell && !cells.IsRelay && !change.Returned {
 		return
 	}
 	l.send(l.heartbeat(), []peerset.Entry{entry})
@@ -147,7 +147,7 @@
 	g.state.mutex.Lock()
 	defer g.state.mutex.Unlock()
 	now := time.Now()
-	if !g.state.peers.Touched(now, m.From, m.Incarnation, m.Sequence) {
+	if !g.state.peers.RecordContact(now, m.From, m.Incarnation, m.Sequence) {
 		return
 	}
 	g.state.quota.PeerTotals(now, m.From, now.Add(-milliseconds(m.AgeMS)), mapValues(m.Load.Totals, totalOf), m.Load.Partial)
--- a/internal/gateway/rollout_bench_test.go
+++ b/internal/gateway/rollout_bench_test.go
@@ -16,9 +16,9 @@
 func fullReport(entry int) rollout.Report {
 	tracker := rollout.NewTracker(time.Now(), rollout.Order{ID: 1, Service: "engines", To: "v2"}, rollout.Bounds{ExposureShare: 0.1})
 	for i := range 120 {
-		tracker.Observed(rollout.Observation{
+		tracker.AddObservation(rollout.Observation{
 			Route: uint32(i % 3), Target: uint32(entry*7+i) % 66, New: i%2 == 0, Load: 1 + i%4,
-			Pace: time.Duration(15+i%7) * time.Millisecond, First: time.Duration(20+i%9) * time.Microsecond, Took: 400 * time.Millisecond,
+			Pace: time.Duration(15+i%7) * time.Millisecond, FirstEvent: time.Duration(20+i%9) * time.Microsecond, Duration: 400 * time.Millisecond,
 		})
 	}
 	return tracker.Report(3)
@@ -40,7 +40,7 @@
 		if err := cbor.Unmarshal(data, &m); err != nil {
 			b.Fatal(err)
 		}
-		judge.Take(time.Now(), "entry-1", 1, rollout.Report{
+		judge.AddReport(time.Now(), "entry-1", 1, rollout.Report{
 			Order: 1, New: observationsOf(m.RolloutReport.New, true), Old: observationsOf(m.RolloutReport.Old, false),
 		})
 	}
@@ -54,7 +54,7 @@
 			now := time.Now()
 			judge := rollout.NewJudge(now, rollout.Order{ID: 1, Duration: 30 * time.Second})
 			for i := range entries {
-				judge.Take(now.Add(time.Duration(i%20)*time.Second), fmt.Sprint(i), 1, fullReport(i))
+				judge.AddReport(now.Add(time.Duration(i%20)*time.Second), fmt.Sprint(i), 1, fullReport(i))
 			}
 			for b.Loop() {
 				judge.Decide(now, rollout.Canary, time.Second, nil)
--- a/internal/gateway/rolloutlead.go
+++ b/internal/gateway/rolloutlead.go
@@ -60,7 +60,7 @@
 	g.state.mutex.Lock()
 	defer g.state.mutex.Unlock()
 	for _, known := range r.services {
-		if known.tracker.TurnDue(now) {
+		if known.tracker.RotationDue(now) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 	known.judge, known.rollingBack = nil, false
 	order := known.tracker.Order()
 	report := known.tracker.Report(g.state.sched.Outstanding(known.current))
-	readDue := !known.tracker.Phase().Final() && known.tracker.LeaderSilent(now) && now.Sub(known.recordReadAt) > recordEvery
+	readDue := !known.tracker.Phase().Final() && known.tracker.LeaderTimedOut(now) && now.Sub(known.recordReadAt) > recordEvery
 	if readDue {
 		known.recordReadAt = now
 	}
@@ -148,7 +148,7 @@
 	if known.judge == nil || known.judge.Order() != t.Order() {
 		known.judge = rollout.NewJudge(now, t.Order())
 	}
-	known.judge.Take(now, g.self.Name, g.self.Incarnation, t.Report(g.state.sched.Outstanding(known.current)))
+	known.judge.AddReport(now, g.self.Name, g.self.Incarnation, t.Report(g.state.sched.Outstanding(known.current)))
 	d := known.judge.Decide(now, t.Phase(), t.Elapsed(now), g.liveNames(now))
 	known.rollingBack = d.Action == rollout.RollBack
 	order, phase := t.Order(), t.Phase()
@@ -186,14 +186,14 @@
 		Service: service, Order: known.tracker.Order().ID, Phase: known.tracker.Phase(),
 		Halt: known.rollingBack, Elapsed: known.tracker.Elapsed(now),
 	}
-	known.tracker.Heard(now, step)
+	known.tracker.ApplyStep(now, step)
 	g.state.mutex.Unlock()
 	g.links.announceStep(step)
 }
 
 // applyStep applies a step from the leader.
 func (r *rollouts) applyStep(step rollout.Step) {
-	r.update(step.Service, "leader", func(t *rollout.Tracker) bool { return t.Heard(time.Now(), step) })
+	r.update(step.Service, "leader", func(t *rollout.Tracker) bool { return t.ApplyStep(time.Now(), step) })
 }
 
 // update applies a change to a service's tracker, and calls phaseChanged if the phase has
@@ -215,7 +215,7 @@
 	g.state.mutex.Lock()
 	defer g.state.mutex.Unlock()
 	if known, found := r.services[service]; found && known.judge != nil {
-		known.judge.Take(time.Now(), entry, incarnation, report)
+		known.judge.AddReport(time.Now(), entry, incarnation, report)
 	}
 }
 
@@ -230,9 +230,9 @@
 	phase := known.tracker.Phase()
 	switch phase {
 	case rollout.Shifting, rollout.Completed:
-		g.state.deliver(g.state.sched.Redirect(time.Now(), known.current, known.tracker.NewPool()))
+		g.state.deliver(g.state.sched.Redirect(time.Now(), known.current, known.tracker.NewVersionPool()))
 	case rollout.RolledBack:
-		g.state.deliver(g.state.sched.Redirect(time.Now(), known.tracker.NewPool(), known.current))
+		g.state.deliver(g.state.sched.Redirect(time.Now(), known.tracker.NewVersionPool(), known.current))
 	}
 	g.log.Write(eventlog.Belief, eventRollout, eventlog.Fields{
 		"service": service, "order": known.tracker.Order().ID, "to": known.tracker.Order().To, "phase": phase.String(), "from": from,
--- a/internal/gateway/rolloutlinks.go
+++ b/internal/gateway/rolloutlinks.go
@@ -15,7 +15,7 @@
 		if member.Name == leader {
 			m := l.message()
 			m.RolloutReport = &gossip.RolloutReport{
-				Service: service, Order: report.Order, Phase: uint8(report.Phase), OldEngaged: report.OldEngaged,
+				Service: service, Order: report.Order, Phase: uint8(report.Phase), OldEngaged: report.OldOutstanding,
 				New: observationMessages(report.New), Old: observationMessages(report.Old),
 			}
 			l.send(m, []peerset.Entry{member})
@@ -42,7 +42,7 @@
 func (l *links) handleRolloutReport(from string, incarnation uint64, m *gossip.RolloutReport) {
 	isNew, isOld := true, false
 	l.gateway.state.rollouts.applyReport(m.Service, from, incarnation, rollout.Report{
-		Order: m.Order, Phase: rollout.Phase(m.Phase), OldEngaged: m.OldEngaged,
+		Order: m.Order, Phase: rollout.Phase(m.Phase), OldOutstanding: m.OldEngaged,
 		New: observationsOf(m.New, isNew), Old: observationsOf(m.Old, isOld),
 	})
 }
@@ -52,12 +52,12 @@
 	for _, o := range observations {
 		message := gossip.Observation{
 			Number: o.Number, Route: o.Route, Target: o.Target, Load: uint8(min(o.Load, math.MaxUint8)),
-			Pace: micros(o.Pace), First: micros(o.First), TookMS: uint32(o.Took.Milliseconds()),
+			Pace: micros(o.Pace), First: micros(o.FirstEvent), TookMS: uint32(o.Duration.Milliseconds()),
 		}
 		if o.Failed {
 			message.Flags |= gossip.ObservedFailed
 		}
-		if o.Severed {
+		if o.ConnectionLost {
 			message.Flags |= gossip.ObservedSevered
 		}
 		if o.Loaded {
@@ -74,8 +74,8 @@
 		observations = append(observations, rollout.Observation{
 			Number: m.Number, Route: m.Route, Target: m.Target, New: isNew, Load: int(m.Load),
 			Loaded: m.Flags&gossip.ObservedLoaded != 0,
-			Failed: m.Flags&gossip.ObservedFailed != 0, Severed: m.Flags&gossip.ObservedSevered != 0,
-			Pace: time.Duration(m.Pace) * time.Microsecond, First: time.Duration(m.First) * time.Microsecond, Took: milliseconds(int64(m.TookMS)),
+			Failed: m.Flags&gossip.ObservedFailed != 0, ConnectionLost: m.Flags&gossip.ObservedSevered != 0,
+			Pace: time.Duration(m.Pace) * time.Microsecond, FirstEvent: time.Duration(m.First) * time.Microsecond, Duration: milliseconds(int64(m.TookMS)),
 		})
 	}
 	return observations
--- a/internal/gateway/rolloutlinks_test.go
+++ b/internal/gateway/rolloutlinks_test.go
@@ -17,9 +17,9 @@
 	w := NewWithT(t)
 	tracker := rollout.NewTracker(time.Now(), rollout.Order{ID: 1 << 40, Service: "wuka27a-of-a-long-name", To: "v2"}, rollout.Bounds{ExposureShare: 0.1})
 	for i := range 200 {
-		tracker.Observed(rollout.Observation{
-			Route: 4_000_000_000, Target: 4_100_000_000, New: i%2 == 0, Load: 1 + i%4, Loaded: i%4 > 2, Failed: i%3 == 0, Severed: i%6 == 0,
-			Pace: 123_456 * time.Microsecond, First: 987_654 * time.Microsecond, Took: 7_890 * time.Millisecond,
+		tracker.AddObservation(rollout.Observation{
+			Route: 4_000_000_000, Target: 4_100_000_000, New: i%2 == 0, Load: 1 + i%4, Loaded: i%4 > 2, Failed: i%3 == 0, ConnectionLost: i%6 == 0,
+			Pace: 123_456 * time.Microsecond, FirstEvent: 987_654 * time.Microsecond, Duration: 7_890 * time.Millisecond,
 		})
 	}
 	report := tracker.Report(17)
@@ -32,7 +32,7 @@
 	_, err = conn.Encode(&gossip.Message{
 		From: "front-of-a-long-name-195", Incarnation: 1<<64 - 1, AgeMS: 1 << 40,
 		RolloutReport: &gossip.RolloutReport{
-			Service: tracker.Order().Service, Order: report.Order, Phase: uint8(report.Phase), OldEngaged: report.OldEngaged,
+			Service: tracker.Order().Service, Order: report.Order, Phase: uint8(report.Phase), OldEngaged: report.OldOutstanding,
 			New: observationMessages(report.New), Old: observationMessages(report.Old),
 		},
 	})
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	k.generation = generation
-	k.tracker.Renumber(order.ID)
+	k.tracker.SetOrderID(order.ID)
 	k.markLost()
 	return true
 }
@@ -102,7 +102,7 @@
 		}
 		current = known.current
 		if known.tracker.Phase() == rollout.Completed {
-			current = known.tracker.NewPool()
+			current = known.tracker.NewVersionPool()
 		}
 	}
 	started := &serviceRollout{tracker: rollout.NewTracker(now, order, r.bounds()), current: current, generation: generation}
@@ -155,7 +155,7 @@
 // concerns reports whether a target belongs to a service with a roll-out, or to a version that
 // is not in use yet.
 func (r *rollouts) concerns(target catalog.Target) bool {
-	return r.services[target.Service] != nil || !r.versions.Settled(target.Service, target.Version)
+	return r.services[target.Service] != nil || !r.versions.InUse(target.Service, target.Version)
 }
 
 // reassign assigns all targets to pools again, after a change of phase or for the next turn of
@@ -179,7 +179,7 @@
 	}
 	now := time.Now()
 	t := known.tracker
-	useNew := t.RepeatsOnNew()
+	useNew := t.RetriesOnNew()
 	if first {
 		useNew = t.UsesNew(now, rollout.RouteKey(route.Host, route.Prefix), rand.Float64())
 	}
@@ -187,12 +187,12 @@
 		return known.current, ""
 	}
 	if t.Phase() != rollout.Canary {
-		return t.NewPool(), ""
+		return t.NewVersionPool(), ""
 	}
-	if !s.sched.HasFreeSlot(now, t.NewPool()) {
+	if !s.sched.HasFreeSlot(now, t.NewVersionPool()) {
 		return known.current, ""
 	}
-	return t.NewPool(), known.current
+	return t.NewVersionPool(), known.current
 }
 
 // recordObservation records what an answer shows of a version under roll-out.
@@ -205,21 +205,21 @@
 	}
 	o := rollout.Observation{
 		Route: rollout.RouteKey(route.Host, route.Prefix), Target: rollout.TargetKey(grant.Target.Incarnation()), New: grant.Target.Version == known.tracker.Order().To,
-		Load: grant.Load, Loaded: 2*grant.Load > grant.Target.Slots, Took: took,
+		Load: grant.Load, Loaded: 2*grant.Load > grant.Target.Slots, Duration: took,
 	}
 	switch report.Outcome {
 	case dispatch.Answered:
 		o.Pace = report.Latency
 		if report.First > 0 {
 			tokens := grant.Ticket.Work.Prompt + grant.Backlog + dispatch.PromptOverhead
-			o.First = 1000 * report.First / time.Duration(tokens)
+			o.FirstEvent = 1000 * report.First / time.Duration(tokens)
 		}
 	case dispatch.Failed:
 		o.Failed = true
 	case dispatch.Broken, dispatch.TimedOut:
-		o.Failed, o.Severed = true, true
+		o.Failed, o.ConnectionLost = true, true
 	default:
 		return
 	}
-	known.tracker.Observed(o)
+	known.tracker.AddObservation(o)
 }
--- a/internal/gateway/rolloutstore.go
+++ b/internal/gateway/rolloutstore.go
@@ -178,7 +178,7 @@
 			own = append(own, target)
 		}
 	}
-	next.From = rollout.Froms(own, order.To)
+	next.From = rollout.OtherVersions(own, order.To)
 	g.state.mutex.Lock()
 	defer g.state.mutex.Unlock()
 	next.Began = time.Now().Add(-r.services[order.Service].tracker.Elapsed(time.Now()))
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -26,7 +26,7 @@
 	sched    *dispatch.Scheduler
 	quota    *quota.Limiter
 	budget   *budget.Budget
-	crashes  *crashes.Memory
+	crashes  *crashes.Tracker
 	rollouts *rollouts
 	peers    *peerset.Set
 	waiters  map[*dispatch.Ticket]chan slotResult
@@ -174,7 +174,7 @@
 }
 
 // admit checks a request against its organisation's quota.
-func (s *state) admit(organisation string, cost float64, rank int) quota.Verdict {
+func (s *state) admit(organisation string, cost float64, rank int) quota.Result {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.quota.Admit(time.Now(), organisation, cost, rank)
@@ -203,7 +203,7 @@
 func (s *state) quarantined(fingerprint crashes.Fingerprint) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.crashes.Convicted(time.Now(), fingerprint)
+	return s.crashes.Quarantined(time.Now(), fingerprint)
 }
 
 // countBroken counts an aborted run against a fingerprint; isNew: the run had not been counted
@@ -212,5 +212,5 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
-	return s.crashes.Broken(now, fingerprint, id), s.crashes.Count(now, fingerprint)
+	return s.crashes.RecordFailure(now, fingerprint, id), s.crashes.Count(now, fingerprint)
 }
--- a/internal/reasons/reasons.go
+++ b/internal/reasons/reasons.go
@@ -69,7 +69,7 @@
 	outcome.ReasonDuplicateKey: {
 		"another request of the organisation has this idempotency key",
 		"follow Location to its answer, or use another key for another request"},
-	outcome.ReasonConvicted: {
+	outcome.ReasonQuarantined: {
 		"targets died each time that they ran this request, so it is run no more",
 		"do not send it again; keep its body for the engine's makers"},
 	outcome.ReasonProcessPaused: {
--- a/internal/replay/faults/callers.go
+++ b/internal/replay/faults/callers.go
@@ -155,7 +155,7 @@
 		}
 		p.extra = append(p.extra, in)
 		now := p.mark("sending %d: %s", n+1, got(&in.Calls[0]))
-		if in.Calls[0].Status.Reason == outcome.ReasonConvicted {
+		if in.Calls[0].Status.Reason == outcome.ReasonQuarantined {
 			p.over = now
 			took := milliseconds(now.Sub(p.begun))
 			p.result.DetectedMS = &took
@@ -215,7 +215,7 @@
 	p.require(deaths > 0, "the request killed no engine, so nothing was tried")
 	p.fact("engines killed", float64(deaths), "")
 	innocent := p.calls(func(c *report.Call) bool {
-		return c.Line != addedLine && c.Status.Reason == outcome.ReasonConvicted
+		return c.Line != addedLine && c.Status.Reason == outcome.ReasonQuarantined
 	})
 	p.require(len(innocent) == 0, "%d other requests were refused as ones that crash targets", len(innocent))
 }
--- a/internal/replay/faults/entries.go
+++ b/internal/replay/faults/entries.go
@@ -159,7 +159,7 @@
 		}
 		last = max(last, c.Sent)
 		p.require(len(c.Asked) == 1, "%s was sent to the stopping entry and had to ask %d others: %s", c.ID, len(c.Asked)-1, got(c))
-		cut := c.Status.Outcome != outcome.Answered && c.Status.Reason != outcome.ReasonPreempted && !c.Status.Reason.Load()
+		cut := c.Status.Outcome != outcome.Answered && c.Status.Reason != outcome.ReasonPreempted && !c.Status.Reason.CapacityRelated()
 		p.require(!cut, "%s was sent to the stopping entry and got %s", c.ID, got(c))
 	}
 	p.require(running > 0, "nothing was in flight at SIGTERM, so nothing was tried")
--- a/internal/replay/report/call.go
+++ b/internal/replay/report/call.go
@@ -68,7 +68,7 @@
 // refusedForLoad reports whether the call was refused for load, where tiers must
 // be refused in order.
 func (c *Call) refusedForLoad() bool {
-	return c.Settled && c.Status.Outcome == outcome.NotRun && c.Status.Reason.Load()
+	return c.Settled && c.Status.Outcome == outcome.NotRun && c.Status.Reason.CapacityRelated()
 }
 
 // Run is one run of a request at a target, from the target's own ledger. Times
