--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -127,7 +127,7 @@
 
 // Verdict returns the result of a published document at this entry.
 func (i *inspector) Verdict(ctx context.Context, documentID string) (operators.Published, error) {
-	var result acceptance.Verdict
+	var result acceptance.Result
 	var known bool
 	read := func(e *entry.Entry) { result, known = e.DocumentResult(documentID) }
 	if err := i.loop.Do(ctx, read); err != nil || !known {
@@ -140,7 +140,7 @@
 	switch result.Kind {
 	case acceptance.Accepted, acceptance.Duplicate:
 		published.Result = operators.ResultAccepted
-	case acceptance.Beaten:
+	case acceptance.Conflict:
 		published.Result = operators.ResultBeaten
 	case acceptance.Invalid:
 		published.Result = operators.ResultInvalid
--- a/internal/callers/failure_test.go
+++ b/internal/callers/failure_test.go
@@ -199,7 +199,7 @@
 		Expect(refusal(body).Ran).NotTo(BeEquivalentTo("no"))
 		ended := all[entry.RunEnded](n.core)
 		Expect(ended).To(HaveLen(1))
-		Expect(ended[0].Result).To(Equal(message.ResultBroken))
+		Expect(ended[0].Result).To(Equal(message.ResultAborted))
 		Expect(ended[0].Wrote).To(BeTrue())
 		if method == "GET" {
 			Expect(target.gets.Load()).To(Equal(int32(1)))
--- a/internal/callers/harness_test.go
+++ b/internal/callers/harness_test.go
@@ -216,7 +216,7 @@
 func (n *node) settle(e entry.RunEnded) {
 	switch {
 	case e.Result == message.ResultComplete:
-	case e.Result == message.ResultBroken && e.Wrote:
+	case e.Result == message.ResultAborted && e.Wrote:
 		n.flights.Settle(entry.Settle{ID: e.ID, Status: outcome.Partial(outcome.ReasonTargetFailed, "")})
 	default:
 		n.flights.Settle(entry.Settle{ID: e.ID, Status: outcome.Refused(outcome.ReasonNoTarget, time.Second, "")})
--- a/internal/core/acceptance/acceptance.go
+++ b/internal/core/acceptance/acceptance.go
@@ -33,7 +33,7 @@
 	Accepted Kind = iota
 	// Conflict means that the document lost against Winner, which was accepted
 	// before it: its base is not the version in force.
-	Beaten
+	Conflict
 	// Duplicate means that the id was accepted before as Version. The document is
 	// or was in force, so the publisher need not publish it again.
 	Duplicate
@@ -61,7 +61,7 @@
 }
 
 // Result is the result of evaluating one record.
-type Verdict struct {
+type Result struct {
 	Kind Kind
 	// Version is the version in force after the record, or for Duplicate the
 	// version as which the document was accepted.
@@ -136,9 +136,9 @@
 func (a *Acceptance) Certain() bool { return a.certain }
 
 // Record evaluates the next record of the stream, in log order.
-func (a *Acceptance) Record(offset int64, data record.Document) Verdict {
+func (a *Acceptance) Record(offset int64, data record.Document) Result {
 	if offset <= a.last {
-		return Verdict{Kind: Ignored, Version: a.version}
+		return Result{Kind: Ignored, Version: a.version}
 	}
 	a.trackOffset(offset)
 	if data.Version != 0 {
@@ -158,7 +158,7 @@
 	a.last = offset
 }
 
-func (a *Acceptance) publication(offset int64, data []byte) Verdict {
+func (a *Acceptance) publication(offset int64, data []byte) Result {
 	doc, err := document.Parse(data)
 	if err != nil {
 		return malformed(a.version, err)
@@ -168,20 +168,20 @@
 	}
 	if !a.certain {
 		a.addPending(publication{offset: offset, doc: doc, data: data})
-		return Verdict{Kind: Pending, Version: a.version, DocumentID: doc.ID}
+		return Result{Kind: Pending, Version: a.version, DocumentID: doc.ID}
 	}
 	return a.evaluate(publication{offset: offset, doc: doc, data: data})
 }
 
-func malformed(version int64, err error) Verdict {
+func malformed(version int64, err error) Result {
 	fault := document.Fault{Path: "$", Problem: err.Error(), Remedy: "mend the JSON text"}
-	return Verdict{Kind: Invalid, Version: version, Faults: document.Faults{fault}}
+	return Result{Kind: Invalid, Version: version, Faults: document.Faults{fault}}
 }
 
 // evaluateBeforeAdopted returns what can be determined of a publication that is not
 // newer than a version adopted from a peer.
-func (a *Acceptance) evaluateBeforeAdopted(offset int64, doc *document.Document) Verdict {
-	v := Verdict{Kind: Pending, Version: a.version, DocumentID: doc.ID}
+func (a *Acceptance) evaluateBeforeAdopted(offset int64, doc *document.Document) Result {
+	v := Result{Kind: Pending, Version: a.version, DocumentID: doc.ID}
 	if offset == a.version {
 		v.Kind = Accepted
 	}
@@ -204,8 +204,8 @@
 // that starts at a renewal makes the same decisions as a reader of the whole log.
 // A copy of an accepted document cannot be accepted again: its base is below its
 // version.
-func (a *Acceptance) evaluate(p publication) Verdict {
-	v := Verdict{Version: a.version, DocumentID: p.doc.ID}
+func (a *Acceptance) evaluate(p publication) Result {
+	v := Result{Version: a.version, DocumentID: p.doc.ID}
 	if p.doc.Base != a.version {
 		return a.conflict(v, p.doc)
 	}
@@ -225,8 +225,8 @@
 // conflict returns the result of a publication whose base is not in force. It is
 // Duplicate if the document was accepted earlier and the publisher's answer was
 // lost, otherwise Conflict.
-func (a *Acceptance) conflict(v Verdict, doc *document.Document) Verdict {
-	v.Kind = Beaten
+func (a *Acceptance) conflict(v Result, doc *document.Document) Result {
+	v.Kind = Conflict
 	if a.doc != nil {
 		v.Winner, v.WinnerVersion = a.doc.ID, a.version
 	}
@@ -235,7 +235,7 @@
 			continue
 		}
 		if previous.id == doc.ID {
-			return Verdict{Kind: Duplicate, Version: previous.version, DocumentID: doc.ID}
+			return Result{Kind: Duplicate, Version: previous.version, DocumentID: doc.ID}
 		}
 		v.Winner, v.WinnerVersion = previous.id, previous.version
 	}
--- a/internal/core/acceptance/acceptance_test.go
+++ b/internal/core/acceptance/acceptance_test.go
@@ -34,7 +34,7 @@
 // entry is one reader of the log, with its results.
 type entry struct {
 	*acceptance.Acceptance
-	results []acceptance.Verdict
+	results []acceptance.Result
 }
 
 func read(log []record.Document, from int) *entry {
@@ -57,8 +57,8 @@
 	It("accepts the first of two racing documents and names it in the second's result", func() {
 		e := read([]record.Document{publish("a", 0), publish("b", 1), publish("c", 1)}, 1)
 		Expect(e.version()).To(Equal(int64(2)))
-		Expect(e.results[2]).To(Equal(acceptance.Verdict{
-			Kind: acceptance.Beaten, Version: 2, DocumentID: "c", Winner: "b", WinnerVersion: 2,
+		Expect(e.results[2]).To(Equal(acceptance.Result{
+			Kind: acceptance.Conflict, Version: 2, DocumentID: "c", Winner: "b", WinnerVersion: 2,
 		}))
 	})
 
@@ -67,8 +67,8 @@
 	// nothing, and its result must still report that the document was accepted.
 	It("recognises the copy of a document after the answer to its append was lost", func() {
 		e := read([]record.Document{publish("a", 0), publish("b", 1), publish("b", 1), publish("c", 2), publish("b", 1)}, 1)
-		Expect(e.results[2]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
-		Expect(e.results[4]).To(Equal(acceptance.Verdict{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
+		Expect(e.results[2]).To(Equal(acceptance.Result{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
+		Expect(e.results[4]).To(Equal(acceptance.Result{Kind: acceptance.Duplicate, Version: 2, DocumentID: "b"}))
 		Expect(e.version()).To(Equal(int64(4)))
 	})
 
@@ -158,7 +158,7 @@
 
 	DescribeTable("becomes due before half the retention, spread by the jitter", func(jitter float64, at time.Duration) {
 		e := &entry{Acceptance: acceptance.New()}
-		e.Seen(e.Record(1, publish("a", 0)), start)
+		e.Observe(e.Record(1, publish("a", 0)), start)
 		Expect(due(e, jitter)).To(Equal(at))
 	},
 		Entry("earliest", 0.0, time.Hour),
@@ -171,7 +171,7 @@
 	It("is due however often documents are published, until one is read", func() {
 		e := &entry{Acceptance: acceptance.New()}
 		for i := range int64(60) {
-			e.Seen(e.Record(i+1, publish(fmt.Sprint("d", i), i)), start.Add(time.Duration(i)*time.Minute))
+			e.Observe(e.Record(i+1, publish(fmt.Sprint("d", i), i)), start.Add(time.Duration(i)*time.Minute))
 		}
 		now := start.Add(61 * time.Minute)
 		Expect(e.RenewalDue(now, retention, 0)).To(BeTrue())
@@ -179,7 +179,7 @@
 		Expect(renewal.Through).To(Equal(int64(60)))
 		Expect(e.RenewalDue(now.Add(time.Second), retention, 0)).To(BeFalse(), "one attempt at a time")
 		Expect(e.RenewalDue(now.Add(retention/64), retention, 0)).To(BeTrue(), "the attempt was lost")
-		e.Seen(e.Record(61, renewal), now)
+		e.Observe(e.Record(61, renewal), now)
 		Expect(e.RenewalDue(now.Add(retention/64), retention, 0)).To(BeFalse())
 	})
 
--- a/internal/core/acceptance/catchup.go
+++ b/internal/core/acceptance/catchup.go
@@ -10,13 +10,13 @@
 // renewal evaluates a renewal, which contains the version in force at an offset.
 // The version never decreases: a renewal may follow a newer publication that its
 // writer had not read yet.
-func (a *Acceptance) renewal(offset int64, data record.Document) Verdict {
+func (a *Acceptance) renewal(offset int64, data record.Document) Result {
 	through := max(data.Version, data.Through)
 	if data.Version < 0 || through >= offset {
-		return Verdict{Kind: Invalid, Version: a.version}
+		return Result{Kind: Invalid, Version: a.version}
 	}
 	if data.Version < a.version {
-		return Verdict{Kind: Ignored, Version: a.version}
+		return Result{Kind: Ignored, Version: a.version}
 	}
 	if data.Version > a.version {
 		doc, err := document.Parse(data.Data)
@@ -25,7 +25,7 @@
 		}
 		a.replace(offset, doc, data)
 	}
-	v := Verdict{Kind: Renewed, DocumentID: a.doc.ID}
+	v := Result{Kind: Renewed, DocumentID: a.doc.ID}
 	a.makeCertain(through)
 	v.Version = a.version
 	return v
--- a/internal/core/acceptance/renewal.go
+++ b/internal/core/acceptance/renewal.go
@@ -22,7 +22,7 @@
 
 // Observe records the result of a record and when it was appended to the log, which
 // is the time of reading less the record's age. It must be called after each Record.
-func (a *Acceptance) Seen(v Verdict, taken time.Time) {
+func (a *Acceptance) Observe(v Result, taken time.Time) {
 	first := v.Kind == Accepted && a.renewedAt.IsZero()
 	again := v.Kind == Renewed && taken.After(a.renewedAt)
 	if first || again {
--- a/internal/core/claims/batch.go
+++ b/internal/core/claims/batch.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (h *Home) append(now time.Time, partition int, claims, releases []record.Claim) *batch {
+func (h *Coordinator) append(now time.Time, partition int, claims, releases []record.Claim) *batch {
 	h.tags++
 	rec := record.Record{Claims: claims, Releases: releases}
 	h.out = append(h.out, Append{Tag: h.tags, Partition: partition, Record: rec})
@@ -32,21 +32,21 @@
 
 // flush appends the claims and releases that are due: when the oldest has waited
 // for BatchDelay, or when a record is full.
-func (h *Home) flush(now time.Time, p *partition) {
+func (h *Coordinator) flush(now time.Time, p *partition) {
 	if p.stage != stageReady {
 		return
 	}
 	p.sinceFlush = 0
 	for {
 		due, oldest := p.dueClaims(h.cfg.MaxBatch)
-		if len(due) == 0 || len(due) < h.cfg.MaxBatch && now.Sub(oldest) < h.cfg.BatchEvery {
+		if len(due) == 0 || len(due) < h.cfg.MaxBatch && now.Sub(oldest) < h.cfg.BatchDelay {
 			break
 		}
 		h.sendClaims(now, p, due)
 	}
 	for {
 		due, oldest := p.dueReleases(h.cfg.MaxBatch)
-		if len(due) == 0 || len(due) < h.cfg.MaxBatch && now.Sub(oldest) < h.cfg.BatchEvery {
+		if len(due) == 0 || len(due) < h.cfg.MaxBatch && now.Sub(oldest) < h.cfg.BatchDelay {
 			break
 		}
 		h.sendReleases(now, p, due)
@@ -95,7 +95,7 @@
 	return a
 }
 
-func (h *Home) sendClaims(now time.Time, p *partition, due []*pendingClaim) {
+func (h *Coordinator) sendClaims(now time.Time, p *partition, due []*pendingClaim) {
 	claims := make([]record.Claim, len(due))
 	for i, a := range due {
 		claims[i] = a.claim
@@ -108,7 +108,7 @@
 	}
 }
 
-func (h *Home) sendReleases(now time.Time, p *partition, due []*release) {
+func (h *Coordinator) sendReleases(now time.Time, p *partition, due []*release) {
 	b := h.append(now, p.number, nil, claimsOf(due))
 	for _, r := range due {
 		r.state = writeSent
@@ -116,15 +116,15 @@
 	}
 }
 
-func (h *Home) answer(a *pendingClaim, winner ident.RequestID) {
-	h.out = append(h.out, Verdict{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Winner: winner})
+func (h *Coordinator) answer(a *pendingClaim, winner ident.RequestID) {
+	h.out = append(h.out, Decision{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Winner: winner})
 }
 
 // refuse answers a pending claim without a new decision. If another request is
 // known to hold the key, the answer names it as the winner: this remains true
 // while the log is unavailable, and "not run" would be false if that request ran.
-func (h *Home) refuse(p *partition, a *pendingClaim) {
-	v := Verdict{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Unread: p == nil || !p.read}
+func (h *Coordinator) refuse(p *partition, a *pendingClaim) {
+	v := Decision{To: a.to, Key: a.claim.Key, ID: a.claim.ID, Unread: p == nil || !p.read}
 	if p != nil {
 		if holder := p.state.holder(a.claim.Key); holder != a.claim.ID {
 			v.Winner = holder
@@ -135,7 +135,7 @@
 
 // tryDecide answers a pending claim if the records that were read decide it, and
 // reports whether they do.
-func (h *Home) tryDecide(p *partition, a *pendingClaim) bool {
+func (h *Coordinator) tryDecide(p *partition, a *pendingClaim) bool {
 	if p.state.isReleased(a.claim) {
 		h.answer(a, "")
 		return true
@@ -148,13 +148,13 @@
 }
 
 // decideKeys answers the pending claims of keys for which a record was read.
-func (h *Home) decideKeys(p *partition, touched []record.Claim) {
+func (h *Coordinator) decideKeys(p *partition, touched []record.Claim) {
 	for _, c := range touched {
 		h.decideKey(p, c.Key)
 	}
 }
 
-func (h *Home) decideKey(p *partition, key request.KeyHash) {
+func (h *Coordinator) decideKey(p *partition, key request.KeyHash) {
 	for _, a := range append([]*pendingClaim(nil), p.byKey[key]...) {
 		if h.tryDecide(p, a) {
 			p.remove(a)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (h *Home) refuseAll(p *partition) {
+func (h *Coordinator) refuseAll(p *partition) {
 	for _, a := range p.pending {
 		h.refuse(p, a)
 	}
--- a/internal/core/claims/bench_test.go
+++ b/internal/core/claims/bench_test.go
@@ -39,7 +39,7 @@
 	b.ResetTimer()
 	for b.Loop() {
 		for i := range batch {
-			n.do(n.Ask(w.now, "owner", benchKey(next+i), benchID(next+i)))
+			n.do(n.Claim(w.now, "owner", benchKey(next+i), benchID(next+i)))
 		}
 		read(next, batch)
 		next += batch
--- a/internal/core/claims/claims.go
+++ b/internal/core/claims/claims.go
@@ -42,7 +42,7 @@
 	Horizon time.Duration
 	// BatchDelay is how long a claim waits for others to share its record,
 	// MaxBatch the maximum number of claims in a record.
-	BatchEvery time.Duration
+	BatchDelay time.Duration
 	MaxBatch   int
 	// MaxKeys bounds the remembered and pending claims over all partitions:
 	// above it no new key is accepted. Claims of other entries and releases that
@@ -73,7 +73,7 @@
 type Unfollow struct{ Partition int }
 
 // Decision reports to the owner To which request holds the key.
-type Verdict struct {
+type Decision struct {
 	To  ident.Incarnation
 	Key request.KeyHash
 	ID  ident.RequestID
@@ -90,11 +90,11 @@
 func (Append) effect()   {}
 func (Follow) effect()   {}
 func (Unfollow) effect() {}
-func (Verdict) effect()  {}
+func (Decision) effect() {}
 
 // Coordinator coordinates the partitions assigned to one entry. It is not safe
 // for concurrent use.
-type Home struct {
+type Coordinator struct {
 	cfg Config
 	// partitions are sorted by number.
 	partitions []*partition
@@ -104,7 +104,7 @@
 }
 
 // New returns a Coordinator without partitions.
-func New(cfg Config) *Home { return &Home{cfg: cfg} }
+func New(cfg Config) *Coordinator { return &Coordinator{cfg: cfg} }
 
 // PartitionOf returns the partition of a key.
 func PartitionOf(key request.KeyHash, partitions int) int {
@@ -114,7 +114,7 @@
 // SetPartitions sets the partitions that this entry coordinates. A partition
 // that is no longer listed is followed until its pending claims are decided and
 // its releases are read back, at most for AppendTimeout.
-func (h *Home) SetHome(now time.Time, partitions []int) []Effect {
+func (h *Coordinator) SetPartitions(now time.Time, partitions []int) []Effect {
 	h.out = nil
 	for _, p := range h.partitions {
 		if !slices.Contains(partitions, p.number) && !p.leaving {
@@ -128,7 +128,7 @@
 	return h.out
 }
 
-func (h *Home) addPartition(now time.Time, number int) {
+func (h *Coordinator) addPartition(now time.Time, number int) {
 	at, found := slices.BinarySearchFunc(h.partitions, number, byNumber)
 	if found {
 		h.partitions[at].leaving = false
@@ -139,7 +139,7 @@
 	h.follow(p)
 }
 
-func (h *Home) follow(p *partition) {
+func (h *Coordinator) follow(p *partition) {
 	p.stage, p.last, p.read = stageReading, 0, false
 	h.out = append(h.out, Follow{Partition: p.number, Back: h.cfg.Horizon})
 }
@@ -147,7 +147,7 @@
 func byNumber(p *partition, number int) int { return p.number - number }
 
 // find returns the partition with the given number, or nil.
-func (h *Home) find(number int) *partition {
+func (h *Coordinator) find(number int) *partition {
 	at, found := slices.BinarySearchFunc(h.partitions, number, byNumber)
 	if !found {
 		return nil
@@ -157,7 +157,7 @@
 
 // Claim claims a key for a request of the owner from. Repeating it for the same
 // id is allowed.
-func (h *Home) Ask(now time.Time, from ident.Incarnation, key request.KeyHash, id ident.RequestID) []Effect {
+func (h *Coordinator) Claim(now time.Time, from ident.Incarnation, key request.KeyHash, id ident.RequestID) []Effect {
 	h.out = nil
 	p := h.find(PartitionOf(key, h.cfg.Partitions))
 	a := &pendingClaim{claim: record.Claim{Key: key, ID: id}, to: from, requestedAt: now}
@@ -187,7 +187,7 @@
 // Release releases the claim of a voided request. The release is appended even
 // if the claim has not been read, since an append that timed out may still reach
 // the log.
-func (h *Home) Release(now time.Time, key request.KeyHash, id ident.RequestID) []Effect {
+func (h *Coordinator) Release(now time.Time, key request.KeyHash, id ident.RequestID) []Effect {
 	h.out = nil
 	claim := record.Claim{Key: key, ID: id}
 	p := h.find(PartitionOf(key, h.cfg.Partitions))
@@ -207,7 +207,7 @@
 
 // Record processes the next record of a partition's stream, in log order. Age
 // is the time since it was appended to the log.
-func (h *Home) Record(now time.Time, number int, offset int64, age time.Duration, rec record.Record) []Effect {
+func (h *Coordinator) Record(now time.Time, number int, offset int64, age time.Duration, rec record.Record) []Effect {
 	h.out = nil
 	p := h.find(number)
 	if p == nil || p.stage == stageFull || offset <= p.last {
@@ -240,7 +240,7 @@
 
 // overflow suspends a partition that has more claims than fit into memory. No
 // decision is safe without all of them.
-func (h *Home) overflow(now time.Time, p *partition) {
+func (h *Coordinator) overflow(now time.Time, p *partition) {
 	h.refuseAll(p)
 	p.state = newState()
 	p.stage, p.fullSince = stageFull, now
@@ -250,7 +250,7 @@
 // CaughtUp reports that all records of the partition, as of a read begun at
 // since, were delivered. A coordinator decides only after that. An append that
 // ended before since and was not read had no effect, so it is repeated.
-func (h *Home) CaughtUp(now time.Time, number int, since time.Time) []Effect {
+func (h *Coordinator) CaughtUp(now time.Time, number int, since time.Time) []Effect {
 	h.out = nil
 	p := h.find(number)
 	if p == nil || p.stage == stageFull {
@@ -273,7 +273,7 @@
 
 // Down reports that the partition's stream cannot be read. Its pending claims
 // are refused at once.
-func (h *Home) Down(now time.Time, number int) []Effect {
+func (h *Coordinator) Down(now time.Time, number int) []Effect {
 	h.out = nil
 	if p := h.find(number); p != nil && p.stage != stageFull {
 		p.stage = stageDown
@@ -285,7 +285,7 @@
 // Appended reports the result of an Append. Failed means that the log rejected
 // it. Otherwise an offset of 0 or more means that the log accepted it, and a
 // negative one that the outcome is unknown. Reading the stream confirms both.
-func (h *Home) Appended(now time.Time, tag uint64, offset int64, failed bool) []Effect {
+func (h *Coordinator) Appended(now time.Time, tag uint64, offset int64, failed bool) []Effect {
 	h.out = nil
 	at := slices.IndexFunc(h.batches, func(b *batch) bool { return b.tag == tag })
 	if at < 0 {
@@ -298,7 +298,7 @@
 }
 
 // Tick processes time-outs and expiry, and flushes batches that are due.
-func (h *Home) Tick(now time.Time) []Effect {
+func (h *Coordinator) Tick(now time.Time) []Effect {
 	h.out = nil
 	h.expireBatches(now)
 	for _, p := range h.partitions {
@@ -322,7 +322,7 @@
 )
 
 // refollow resumes reading a suspended partition.
-func (h *Home) refollow(now time.Time, p *partition) {
+func (h *Coordinator) refollow(now time.Time, p *partition) {
 	if p.stage != stageFull || now.Sub(p.fullSince) < h.cfg.Horizon/refollowHorizonDivisor {
 		return
 	}
@@ -334,14 +334,14 @@
 
 // expireBatches treats an append without an answer within AppendTimeout as one
 // whose answer was lost.
-func (h *Home) expireBatches(now time.Time) {
+func (h *Coordinator) expireBatches(now time.Time) {
 	for len(h.batches) > 0 && now.Sub(h.batches[0].sent) >= h.cfg.AppendTimeout {
 		h.batches[0].finish(now, false)
 		h.batches = h.batches[1:]
 	}
 }
 
-func (h *Home) expirePending(now time.Time, p *partition) {
+func (h *Coordinator) expirePending(now time.Time, p *partition) {
 	for len(p.pending) > 0 && now.Sub(p.pending[0].requestedAt) >= h.cfg.AppendTimeout {
 		a := p.pending[0]
 		p.remove(a)
@@ -351,7 +351,7 @@
 
 // dropLeaving stops following the partitions that this entry no longer
 // coordinates. Releases that were not read back are appended a last time.
-func (h *Home) dropLeaving(now time.Time) {
+func (h *Coordinator) dropLeaving(now time.Time) {
 	h.partitions = slices.DeleteFunc(h.partitions, func(p *partition) bool {
 		busy := len(p.pending)+len(p.releases) > 0 && now.Sub(p.leavingSince) < h.cfg.AppendTimeout
 		if !p.leaving || busy {
@@ -370,7 +370,7 @@
 
 // Size returns the number of remembered claims and releases and of pending
 // claims and releases.
-func (h *Home) Size() int {
+func (h *Coordinator) Size() int {
 	n := h.remembered()
 	for _, p := range h.partitions {
 		n += len(p.pending) + len(p.releases)
@@ -379,7 +379,7 @@
 }
 
 // remembered returns the number of claims and releases that were read.
-func (h *Home) remembered() int {
+func (h *Coordinator) remembered() int {
 	n := 0
 	for _, p := range h.partitions {
 		n += p.state.size()
--- a/internal/core/claims/claims_test.go
+++ b/internal/core/claims/claims_test.go
@@ -208,7 +208,7 @@
 		n.do(n.Record(w.now, 0, 1, 0, w.log[0]))
 		n.claim("c")
 		Expect(n.winners()).To(BeEmpty())
-		m.do(m.SetHome(w.now, nil))
+		m.do(m.SetPartitions(w.now, nil))
 		w.advance(100*time.Millisecond, m, n)
 		Expect(n.winners()).To(Equal([]string{"b>a", "a>a", "c>a"}))
 		Expect(m.following).To(BeFalse())
@@ -234,7 +234,7 @@
 		n := w.node(config())
 		n.read()
 		for i := range 100 {
-			n.do(n.Ask(w.now, "owner", request.KeyHash(fmt.Sprint("k", i)), "a"))
+			n.do(n.Claim(w.now, "owner", request.KeyHash(fmt.Sprint("k", i)), "a"))
 		}
 		w.advance(100*time.Millisecond, n)
 		Expect(n.appends).To(Equal(2))
@@ -250,11 +250,11 @@
 		n := w.node(cfg)
 		n.read()
 		for i := range 12 {
-			n.do(n.Ask(w.now, "owner", request.KeyHash(fmt.Sprint("k", i)), "a"))
+			n.do(n.Claim(w.now, "owner", request.KeyHash(fmt.Sprint("k", i)), "a"))
 		}
 		w.advance(100*time.Millisecond, n)
 		Expect(n.Size()).To(Equal(10))
-		n.do(n.Ask(w.now, "owner", "k0", "b"))
+		n.do(n.Claim(w.now, "owner", "k0", "b"))
 		Expect(n.winners()).To(ContainElements("a>", "b>a"))
 	})
 
--- a/internal/core/claims/horizon.go
+++ b/internal/core/claims/horizon.go
@@ -7,7 +7,7 @@
 // SetHorizon changes the horizon. A longer horizon includes claims that were not
 // read or have expired here, so every partition is read again before further
 // decisions. A shorter one only expires claims earlier.
-func (h *Home) SetHorizon(now time.Time, horizon time.Duration) []Effect {
+func (h *Coordinator) SetHorizon(now time.Time, horizon time.Duration) []Effect {
 	h.out = nil
 	longer := horizon > h.cfg.Horizon
 	h.cfg.Horizon = horizon
--- a/internal/core/claims/invariant_test.go
+++ b/internal/core/claims/invariant_test.go
@@ -80,7 +80,7 @@
 			return
 		}
 		// The coordinator is replaced by a new process without state.
-		n.Home = claims.New(config())
-		n.do(n.SetHome(w.now, []int{0}))
+		n.Coordinator = claims.New(config())
+		n.do(n.SetPartitions(w.now, []int{0}))
 	}
 }
--- a/internal/core/claims/simulation_test.go
+++ b/internal/core/claims/simulation_test.go
@@ -17,7 +17,7 @@
 )
 
 func config() claims.Config {
-	return claims.Config{Partitions: 1, Horizon: horizon, BatchEvery: 50 * time.Millisecond, MaxBatch: 64, MaxKeys: 1000, AppendTimeout: timeout}
+	return claims.Config{Partitions: 1, Horizon: horizon, BatchDelay: 50 * time.Millisecond, MaxBatch: 64, MaxKeys: 1000, AppendTimeout: timeout}
 }
 
 // world is one partition's stream and the state that its coordinators share.
@@ -56,17 +56,17 @@
 
 // node is one coordinator.
 type node struct {
-	*claims.Home
+	*claims.Coordinator
 	w         *world
 	following bool
 	next      int
-	decisions []claims.Verdict
+	decisions []claims.Decision
 	appends   int
 }
 
 func (w *world) node(cfg claims.Config) *node {
-	n := &node{Home: claims.New(cfg), w: w}
-	n.do(n.SetHome(w.now, []int{0}))
+	n := &node{Coordinator: claims.New(cfg), w: w}
+	n.do(n.SetPartitions(w.now, []int{0}))
 	return n
 }
 
@@ -77,7 +77,7 @@
 			n.following, n.next = true, 0
 		case claims.Unfollow:
 			n.following = false
-		case claims.Verdict:
+		case claims.Decision:
 			n.decisions = append(n.decisions, e)
 		case claims.Append:
 			n.append(e)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (n *node) claim(id ident.RequestID) { n.do(n.Ask(n.w.now, "owner", key, id)) }
+func (n *node) claim(id ident.RequestID) { n.do(n.Claim(n.w.now, "owner", key, id)) }
 func (n *node) release(id ident.RequestID) {
 	n.do(n.Release(n.w.now, key, id))
 }
--- a/internal/core/entry/dispatch_test.go
+++ b/internal/core/entry/dispatch_test.go
@@ -18,7 +18,7 @@
 		l.submit(1, nil)
 		id := dispatched(l.outs)[0].ID
 		f := l.flights[id]
-		Expect(l.ids.Undispatched(l.now, id)).To(BeTrue())
+		Expect(l.ids.RevertDispatch(l.now, id)).To(BeTrue())
 		f.stage = stageWaiting
 		change(l, f)
 		l.Entry.out = nil
@@ -32,7 +32,7 @@
 	// resend it under a new id and run it twice.
 	ginkgo.It("reports unknown for a request that is no longer waiting", func() {
 		status := statusAfter(func(l *singleEntry, f *flight) {
-			Expect(l.ids.Dispatched(l.now, f.req.ID, f.target)).To(BeTrue())
+			Expect(l.ids.RecordDispatch(l.now, f.req.ID, f.target)).To(BeTrue())
 		})
 		Expect(status.Outcome).To(Equal(outcome.Unknown))
 		Expect(status.Reason).To(Equal(outcome.ReasonVoided))
--- a/internal/core/entry/documents.go
+++ b/internal/core/entry/documents.go
@@ -61,7 +61,7 @@
 // documentRecorded checks the next record of the documents stream.
 func (e *Entry) documentRecorded(offset int64, age time.Duration, rec record.Document) {
 	result := e.accepted.Record(offset, rec)
-	e.accepted.Seen(result, e.now.Add(-age))
+	e.accepted.Observe(result, e.now.Add(-age))
 	e.rememberResult(result)
 	if result.Kind == acceptance.Pending {
 		// Only a peer or a renewal can resolve it: request the document now.
@@ -71,7 +71,7 @@
 	e.applyCurrent()
 }
 
-func (e *Entry) rememberResult(v acceptance.Verdict) {
+func (e *Entry) rememberResult(v acceptance.Result) {
 	if v.DocumentID == "" {
 		return
 	}
@@ -83,13 +83,13 @@
 
 // DocumentResult returns the result of checking a published document, if its
 // record was read.
-func (e *Entry) DocumentResult(id string) (acceptance.Verdict, bool) {
+func (e *Entry) DocumentResult(id string) (acceptance.Result, bool) {
 	for _, v := range e.documentResults {
 		if v.DocumentID == id && v.Kind != acceptance.Duplicate {
 			return v, true
 		}
 	}
-	return acceptance.Verdict{}, false
+	return acceptance.Result{}, false
 }
 
 // applyCurrent puts the accepted document in force if it is newer than the
@@ -138,7 +138,7 @@
 	held := false
 	for _, m := range e.members.Members(e.now) {
 		if m.Linked {
-			e.send(m.Member.Incarnation, message.DocumentAsk{})
+			e.send(m.Member.Incarnation, message.DocumentRequest{})
 			held = held || m.ConfigVersion > 0
 		}
 	}
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -81,7 +81,7 @@
 	scheduler      *scheduler.Scheduler
 	shareScheduler *scheduler.Scheduler
 	router         *routing.Router
-	claims         *claims.Home
+	claims         *claims.Coordinator
 	suspects       *suspects.Suspects
 	orders         *orders.Orders
 	drain          *drain.Drain
@@ -109,7 +109,7 @@
 	pending             map[uint64]pendingAppend
 	appendSeq           uint64
 	partitionByStream   map[record.Stream]int
-	documentResults     []acceptance.Verdict
+	documentResults     []acceptance.Result
 	jitterShare         float64
 	nextDocumentRequest time.Time
 
@@ -156,8 +156,8 @@
 	}
 	e.drain = drain.New(e.drainConfig())
 	e.ids = owner.New(owner.Config{
-		Self: cfg.Self.Incarnation, Period: startingPeriod, Longest: startingLongest,
-		Max: startingIDs, Validity: inputValidity,
+		Self: cfg.Self.Incarnation, Period: startingPeriod, MaxDeadline: startingLongest,
+		MaxIDs: startingIDs, Validity: inputValidity,
 	}, now)
 	e.members = membership.New(cfg.Self, e.membershipConfig(), now)
 	e.claims = claims.New(claimsConfig(e.timing.horizon))
@@ -255,7 +255,7 @@
 		return
 	}
 	e.following = true
-	for _, stream := range []record.Stream{record.StreamDocuments, record.StreamVerdicts, record.StreamOrders} {
+	for _, stream := range []record.Stream{record.StreamDocuments, record.StreamQuarantines, record.StreamOrders} {
 		e.emit(Follow{Stream: stream, Back: fromOldest})
 	}
 }
--- a/internal/core/entry/fakes_test.go
+++ b/internal/core/entry/fakes_test.go
@@ -140,7 +140,7 @@
 	}
 	t.up = false
 	for _, r := range t.inOrder() {
-		t.end(r, message.ResultBroken)
+		t.end(r, message.ResultAborted)
 	}
 	t.runs = map[ident.RequestID]*targetRun{}
 	t.world.after(outage, func() { t.up = true })
--- a/internal/core/entry/grants.go
+++ b/internal/core/entry/grants.go
@@ -40,7 +40,7 @@
 		e.giveBack(from, message.Withdraw{ID: g.ID, Target: g.Target}, onShare, f, g.Target)
 		return
 	}
-	sent, known := f.sentAt(g.Ask)
+	sent, known := f.sentAt(g.OfferSeq)
 	until := sent.Add(g.Valid - grantMargin)
 	if !known || !e.now.Before(until) {
 		// The grant expired on the way, or this process was paused. The target
@@ -75,14 +75,14 @@
 	}
 	f.stage = stageWaiting
 	switch {
-	case r.Settled && (r.Reason == outcome.ReasonDeadline || r.Reason == outcome.ReasonDeadlinePassed):
+	case r.PoolWide && (r.Reason == outcome.ReasonDeadline || r.Reason == outcome.ReasonDeadlinePassed):
 		e.refusePastDeadline(f, r.Reason)
-	case r.Settled:
+	case r.PoolWide:
 		e.abandon(f, outcome.Refused(r.Reason, r.RetryAfter, detailOf(r.Reason)))
 	case scheduler.Moved(r):
 		e.wakeAt(f, e.now.Add(placementRetryWait))
-	case r.Elsewhere != "":
-		e.offerAt(f, r.Elsewhere)
+	case r.Alternative != "":
+		e.offerAt(f, r.Alternative)
 	default:
 		f.tried = append(f.tried, f.target)
 		e.place(f)
--- a/internal/core/entry/inspect.go
+++ b/internal/core/entry/inspect.go
@@ -124,7 +124,7 @@
 	// Known is true if this entry tracks or tracked the request.
 	Known     bool
 	Owner     ident.Incarnation
-	Standing  message.Standing
+	Standing  message.IDState
 	Decisions []TimedDecision
 }
 
@@ -135,8 +135,8 @@
 		x.Owner = parts.Owner
 	}
 	state := e.stateOf(id)
-	x.Standing = state.Standing
+	x.Standing = state.State
 	x.Decisions = e.journal.decisionsOn(id)
-	x.Known = len(x.Decisions) > 0 || state.Standing != message.StandingExpired
+	x.Known = len(x.Decisions) > 0 || state.State != message.IDExpired
 	return x
 }
--- a/internal/core/entry/keys.go
+++ b/internal/core/entry/keys.go
@@ -32,7 +32,7 @@
 func claimsConfig(horizon time.Duration) claims.Config {
 	return claims.Config{
 		Partitions: partitions, Horizon: horizon,
-		BatchEvery: claimBatchInterval, MaxBatch: maxClaimsPerRecord,
+		BatchDelay: claimBatchInterval, MaxBatch: maxClaimsPerRecord,
 		MaxKeys: maxClaimedKeys, AppendTimeout: claimTimeout,
 	}
 }
@@ -50,7 +50,7 @@
 	if f.queried == "" {
 		return
 	}
-	e.send(f.queried, message.ClaimAsk{Key: f.req.Key, ID: f.req.ID})
+	e.send(f.queried, message.ClaimRequest{Key: f.req.Key, ID: f.req.ID})
 }
 
 func (e *Entry) handleClaimTimer(f *flight) {
@@ -117,7 +117,7 @@
 	holder := parts.Owner
 	state := e.stateOf(winner)
 	switch {
-	case state.Standing == message.StandingElsewhere:
+	case state.State == message.IDTransferred:
 		holder = state.Delegate
 	case holder == e.cfg.Self.Incarnation || e.flights[winner] != nil:
 		e.joinWinner(f, winner, state)
@@ -131,11 +131,11 @@
 }
 
 func (e *Entry) joinWinner(f *flight, winner ident.RequestID, state message.OwnerReply) {
-	if state.Standing == message.StandingFinished && state.Status.Outcome != outcome.Answered {
+	if state.State == message.IDFinished && state.Status.Outcome != outcome.Answered {
 		e.finish(f, state.Status)
 		return
 	}
-	if state.Standing == message.StandingExpired {
+	if state.State == message.IDExpired {
 		e.finish(f, outcome.Undetermined(outcome.ReasonIDExpired, "the first run of this key is no longer remembered"))
 		return
 	}
@@ -159,7 +159,7 @@
 			e.emit(Follow{Stream: record.ClaimsStream(c.Partition), Back: c.Back})
 		case claims.Unfollow:
 			e.emit(Unfollow{Stream: record.ClaimsStream(c.Partition)})
-		case claims.Verdict:
+		case claims.Decision:
 			e.send(c.To, message.ClaimReply{Key: c.Key, ID: c.ID, Winner: c.Winner, Unread: c.Unread})
 		}
 	}
--- a/internal/core/entry/members.go
+++ b/internal/core/entry/members.go
@@ -41,7 +41,7 @@
 	e.applyDigests(from, h.Digests)
 	if h.ConfigVersion > e.version || !e.enabled(guardVersion) && h.ConfigVersion != e.version {
 		// The log is slow or unavailable here: the peer holds a newer document.
-		e.send(from, message.DocumentAsk{})
+		e.send(from, message.DocumentRequest{})
 	}
 }
 
--- a/internal/core/entry/orphans.go
+++ b/internal/core/entry/orphans.go
@@ -25,7 +25,7 @@
 	f.stage = stageSearching
 	f.fallbackStatus = fallback
 	e.requestSeq++
-	e.broadcast(message.OwnerAsk{Seq: e.requestSeq, ID: f.subject, Known: true, Orphan: true, Tag: owner.Tag(f.req.Organisation)})
+	e.broadcast(message.OwnerRequest{Seq: e.requestSeq, ID: f.subject, StateOnly: true, OwnerDeparted: true, Tag: owner.Tag(f.req.Organisation)})
 	e.wakeAt(f, e.now.Add(e.timing.grant))
 }
 
@@ -41,9 +41,9 @@
 }
 
 // orphanQueried replies only if the run is at a target that is scheduled here.
-func (e *Entry) orphanQueried(from ident.Incarnation, q message.OwnerAsk) {
+func (e *Entry) orphanQueried(from ident.Incarnation, q message.OwnerRequest) {
 	if target, found := e.orphanRun(q.ID, q.Tag); found {
-		e.send(from, message.OwnerReply{Seq: q.Seq, ID: q.ID, Standing: message.StandingRunning, Target: target})
+		e.send(from, message.OwnerReply{Seq: q.Seq, ID: q.ID, State: message.IDRunning, Target: target})
 	}
 }
 
--- a/internal/core/entry/peers.go
+++ b/internal/core/entry/peers.go
@@ -74,23 +74,23 @@
 		e.done(from, m)
 	case message.Running:
 		e.perform(e.scheduler.Running(e.now, from, m), fromScheduler)
-	case message.FloorAsk:
+	case message.FloorRequest:
 		e.floorRequested(from, m)
 	case message.FloorReply:
 		e.perform(e.scheduler.FloorReply(e.now, from, m), fromScheduler)
-	case message.OwnerAsk:
+	case message.OwnerRequest:
 		e.ownerQueried(from, m)
 	case message.OwnerReply:
 		e.ownerReplied(from, m)
-	case message.ClaimAsk:
-		e.performClaims(e.claims.Ask(e.now, from, m.Key, m.ID))
+	case message.ClaimRequest:
+		e.performClaims(e.claims.Claim(e.now, from, m.Key, m.ID))
 	case message.ClaimReply:
 		e.claimReplied(m)
 	case message.ClaimRelease:
 		e.performClaims(e.claims.Release(e.now, m.Key, m.ID))
 	case message.Suspicion:
 		e.performSuspects(e.suspects.Merge(e.now, m))
-	case message.DocumentAsk:
+	case message.DocumentRequest:
 		e.documentRequested(from)
 	case message.DocumentReply:
 		e.documentReceived(m)
@@ -101,7 +101,7 @@
 // has a different view of the members, and the refusal makes it offer again.
 func (e *Entry) offered(from ident.Incarnation, o message.Offer) {
 	if e.schedulerOf(o.Target) != e.cfg.Self.Incarnation {
-		e.send(from, message.Refuse{ID: o.ID, Target: o.Target, Elsewhere: o.Target})
+		e.send(from, message.Refuse{ID: o.ID, Target: o.Target, Alternative: o.Target})
 		return
 	}
 	e.perform(e.scheduler.Offer(e.now, from, o), fromScheduler)
@@ -110,7 +110,7 @@
 // floorRequested applies the floor to both schedulers: work that this entry
 // admits by its own share of another scheduler's target counts like any other.
 // Only the reply for the targets scheduled here is sent.
-func (e *Entry) floorRequested(from ident.Incarnation, a message.FloorAsk) {
+func (e *Entry) floorRequested(from ident.Incarnation, a message.FloorRequest) {
 	e.recordDecision(Decision{ID: a.Need.ID, Event: EventFloor, Tier: a.Tier, Detail: a.Pool})
 	for _, effect := range e.shareScheduler.FloorAsk(e.now, from, a) {
 		if _, answer := effect.Message.(message.FloorReply); answer {
@@ -123,7 +123,7 @@
 
 // done frees a slot and records runs that broke off for crash detection.
 func (e *Entry) done(from ident.Incarnation, d message.Done) {
-	if d.Result == message.ResultBroken && e.schedulerOf(d.Target) == e.cfg.Self.Incarnation {
+	if d.Result == message.ResultAborted && e.schedulerOf(d.Target) == e.cfg.Self.Incarnation {
 		e.recordCrash(d)
 	}
 	e.perform(e.scheduler.Done(e.now, from, d), fromScheduler)
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -151,12 +151,12 @@
 
 func (e *Entry) offer(f *flight) message.Offer {
 	offer := message.Offer{
-		Ask: e.requestSeq, ID: f.req.ID, Target: f.target,
+		Seq: e.requestSeq, ID: f.req.ID, Target: f.target,
 		Organisation: f.req.Organisation, Tier: f.req.Tier, Kind: f.req.Kind,
 		PromptTokens: f.req.PromptTokens, MaxTokens: f.req.MaxTokens,
 		Idempotent: f.req.Idempotent || !e.enabled(guardRepeat), Fingerprint: f.req.Fingerprint,
 		Remaining: f.req.Deadline.Sub(e.now),
-		Alone:     e.suspects.Check(e.now, f.req.Fingerprint) == suspects.Suspect,
+		Isolated:  e.suspects.Check(e.now, f.req.Fingerprint) == suspects.Suspect,
 		Final:     f.final && !f.onShare,
 	}
 	if !f.req.FirstTokenBy.IsZero() {
--- a/internal/core/entry/platform.go
+++ b/internal/core/entry/platform.go
@@ -70,7 +70,7 @@
 	case rec.Order != nil:
 		e.performOrders(e.orders.Record(e.now, r.Offset, r.Age, *rec.Order))
 	default:
-		for _, v := range rec.Verdicts {
+		for _, v := range rec.Quarantines {
 			e.suspects.FromLog(e.now, r.Age, v)
 		}
 	}
@@ -158,7 +158,7 @@
 		}
 		if effect.Append != nil {
 			e.recordDecision(Decision{Event: EventQuarantined, Detail: "a request crashed a second target"})
-			e.append(record.StreamVerdicts, record.Record{Verdicts: []record.Verdict{*effect.Append}}, appendVerdict, 0)
+			e.append(record.StreamQuarantines, record.Record{Quarantines: []record.Quarantine{*effect.Append}}, appendVerdict, 0)
 		}
 	}
 }
--- a/internal/core/entry/rebalance.go
+++ b/internal/core/entry/rebalance.go
@@ -97,12 +97,12 @@
 		moved[m.To] = append(moved[m.To], m.Target)
 	}
 	for _, to := range order {
-		e.send(to, message.Running{Full: true, Runs: e.runsScheduledBy(to), Moved: moved[to]})
+		e.send(to, message.Running{Full: true, Runs: e.runsScheduledBy(to), TakenOver: moved[to]})
 	}
 }
 
-func (e *Entry) runsScheduledBy(member ident.Incarnation) []message.RunningOne {
-	var runs []message.RunningOne
+func (e *Entry) runsScheduledBy(member ident.Incarnation) []message.Run {
+	var runs []message.Run
 	for _, f := range e.flightsInOrder() {
 		if f.stage == stageRunning && e.schedulerOf(f.target) == member {
 			runs = append(runs, e.running(f))
@@ -128,7 +128,7 @@
 			mine = append(mine, p)
 		}
 	}
-	e.performClaims(e.claims.SetHome(e.now, mine))
+	e.performClaims(e.claims.SetPartitions(e.now, mine))
 }
 
 func placementTargets(doc *document.Document) []placement.Target {
--- a/internal/core/entry/remote.go
+++ b/internal/core/entry/remote.go
@@ -34,7 +34,7 @@
 	}
 	f.queried = holder
 	e.requestSeq++
-	e.send(holder, message.OwnerAsk{Seq: e.requestSeq, ID: f.subject, Known: f.subject != f.req.ID, Tag: owner.Tag(f.req.Organisation)})
+	e.send(holder, message.OwnerRequest{Seq: e.requestSeq, ID: f.subject, StateOnly: f.subject != f.req.ID, Tag: owner.Tag(f.req.Organisation)})
 	e.wakeAt(f, e.now.Add(e.timing.grant))
 }
 
@@ -43,8 +43,8 @@
 // joins it. Otherwise nothing is recorded here, and the run is searched for.
 func (e *Entry) resolveLocally(f *flight) {
 	state := e.stateOf(f.subject)
-	switch state.Standing {
-	case message.StandingWaiting, message.StandingRunning, message.StandingFinished:
+	switch state.State {
+	case message.IDWaiting, message.IDRunning, message.IDFinished:
 		if f.subject != f.req.ID {
 			e.joinWinner(f, f.subject, state)
 			return
@@ -62,8 +62,8 @@
 }
 
 // ownerQueried answers a peer's query about an id that this entry owns.
-func (e *Entry) ownerQueried(from ident.Incarnation, q message.OwnerAsk) {
-	if q.Orphan {
+func (e *Entry) ownerQueried(from ident.Incarnation, q message.OwnerRequest) {
+	if q.OwnerDeparted {
 		e.orphanQueried(from, q)
 		return
 	}
@@ -72,21 +72,21 @@
 	e.send(from, reply)
 }
 
-func (e *Entry) stateFor(from ident.Incarnation, q message.OwnerAsk) message.OwnerReply {
-	if q.Known {
+func (e *Entry) stateFor(from ident.Incarnation, q message.OwnerRequest) message.OwnerReply {
+	if q.StateOnly {
 		// The requester needs the outcome of another request and does not take
 		// over its id.
 		return e.stateOf(q.ID)
 	}
-	if !e.ids.Belongs(e.now, q.ID, q.Tag) {
-		return message.OwnerReply{ID: q.ID, Standing: message.StandingFinished, Status: idTaken()}
+	if !e.ids.Accessible(e.now, q.ID, q.Tag) {
+		return message.OwnerReply{ID: q.ID, State: message.IDFinished, Status: idTaken()}
 	}
 	if !e.enabled(guardVoid) {
-		return message.OwnerReply{ID: q.ID, Standing: message.StandingVoided}
+		return message.OwnerReply{ID: q.ID, State: message.IDVoided}
 	}
-	reply := e.ids.Ask(e.now, from, q.ID)
-	if reply.Standing == message.StandingVoided {
-		e.ids.Mark(e.now, q.ID, q.Tag)
+	reply := e.ids.Query(e.now, from, q.ID)
+	if reply.State == message.IDVoided {
+		e.ids.SetTag(e.now, q.ID, q.Tag)
 	}
 	return reply
 }
@@ -94,15 +94,15 @@
 // stateOf returns what this entry remembers of an id, without recording
 // anything.
 func (e *Entry) stateOf(id ident.RequestID) message.OwnerReply {
-	known := e.ids.Standing(e.now, id)
-	reply := message.OwnerReply{ID: id, Standing: message.StandingExpired}
+	known := e.ids.State(e.now, id)
+	reply := message.OwnerReply{ID: id, State: message.IDExpired}
 	switch known.Kind {
 	case owner.KindKnown:
-		reply.Standing = known.Standing
+		reply.State = known.State
 		reply.Status = known.Status
 		reply.Target = known.Target
 	case owner.KindVoided:
-		reply.Standing = message.StandingElsewhere
+		reply.State = message.IDTransferred
 		reply.Delegate = known.Delegate
 	}
 	return reply
@@ -115,7 +115,7 @@
 			e.followState(f, from, r)
 		}
 	}
-	if r.Standing == message.StandingRunning {
+	if r.State == message.IDRunning {
 		e.orphanFound(from, r)
 	}
 }
@@ -136,16 +136,16 @@
 }
 
 func (e *Entry) followState(f *flight, holder ident.Incarnation, r message.OwnerReply) {
-	switch r.Standing {
-	case message.StandingVoided:
+	switch r.State {
+	case message.IDVoided:
 		e.adopt(f)
-	case message.StandingElsewhere:
+	case message.IDTransferred:
 		e.sendOwnerQuery(f, r.Delegate)
-	case message.StandingWaiting:
+	case message.IDWaiting:
 		f.giveUpAt = earlier(e.now.Add(e.timing.silence), f.req.Deadline)
-	case message.StandingRunning:
+	case message.IDRunning:
 		e.followRun(f, holder, r.Target)
-	case message.StandingFinished:
+	case message.IDFinished:
 		e.followFinished(f, holder, r)
 	default:
 		e.settleRemote(f, outcome.Undetermined(outcome.ReasonIDExpired, "the owner no longer remembers the id"))
@@ -160,7 +160,7 @@
 		e.refuseUntracked(&f.req, outcome.Refused(outcome.ReasonEntryFull, retrySoon, "the entry remembers no more ids"))
 		return
 	}
-	e.ids.Mark(e.now, f.req.ID, owner.Tag(f.req.Organisation))
+	e.ids.SetTag(e.now, f.req.ID, owner.Tag(f.req.Organisation))
 	e.accept(f.req)
 }
 
--- a/internal/core/entry/requests.go
+++ b/internal/core/entry/requests.go
@@ -22,23 +22,23 @@
 // submit handles a request from a caller.
 func (e *Entry) submit(req request.Request) {
 	tag := owner.Tag(req.Organisation)
-	if f := e.flights[req.ID]; f != nil && f.req.Organisation != req.Organisation || !e.ids.Belongs(e.now, req.ID, tag) {
+	if f := e.flights[req.ID]; f != nil && f.req.Organisation != req.Organisation || !e.ids.Accessible(e.now, req.ID, tag) {
 		e.refuseUntracked(&req, idTaken())
 		return
 	}
 	switch admission := e.ids.Admit(e.now, req.ID); admission.Kind {
 	case owner.KindNew:
-		e.ids.Mark(e.now, req.ID, tag)
+		e.ids.SetTag(e.now, req.ID, tag)
 		e.accept(req)
 	case owner.KindKnown:
 		e.joinKnown(&req, admission)
-	case owner.KindForeign:
+	case owner.KindRemote:
 		e.queryOwner(req, req.ID, admission.Owner)
 	case owner.KindVoided:
 		e.queryOwner(req, req.ID, admission.Delegate)
 	case owner.KindExpired:
 		e.refuseUntracked(&req, outcome.Undetermined(outcome.ReasonIDExpired, "the id is older than this entry remembers"))
-	case owner.KindLate:
+	case owner.KindPrefixExpired:
 		e.refuseUntracked(&req, outcome.Refused(outcome.ReasonIDExpired, 0, "the id's prefix is no longer good; ask for another"))
 	case owner.KindFull:
 		e.refuseUntracked(&req, outcome.Refused(outcome.ReasonEntryFull, retrySoon, "the entry remembers no more ids"))
@@ -76,7 +76,7 @@
 			return
 		}
 	}
-	if admission.Standing == message.StandingFinished && admission.Status.Outcome != outcome.Answered {
+	if admission.State == message.IDFinished && admission.Status.Outcome != outcome.Answered {
 		e.emit(Settle{ID: req.ID, Status: withKeyUnread(req, admission.Status)})
 		return
 	}
--- a/internal/core/entry/running.go
+++ b/internal/core/entry/running.go
@@ -14,7 +14,7 @@
 // start a second run.
 func (e *Entry) dispatch(f *flight, notAfter time.Time) {
 	target, known := e.index.Target(f.target)
-	if !known || !e.ids.Dispatched(e.now, f.req.ID, f.target) {
+	if !known || !e.ids.RecordDispatch(e.now, f.req.ID, f.target) {
 		status := e.undispatchable(f)
 		e.withdraw(f)
 		e.finish(f, status)
@@ -41,15 +41,15 @@
 // may have run under an earlier dispatch, or at the entry to which it was
 // handed over.
 func (e *Entry) undispatchable(f *flight) outcome.Status {
-	known := e.ids.Standing(e.now, f.req.ID)
-	if known.Kind == owner.KindKnown && known.Standing == message.StandingWaiting {
+	known := e.ids.State(e.now, f.req.ID)
+	if known.Kind == owner.KindKnown && known.State == message.IDWaiting {
 		return outcome.Refused(outcome.ReasonVoided, 0, "the target is no longer configured")
 	}
 	return outcome.Undetermined(outcome.ReasonVoided, "the request may not run under this id any more")
 }
 
 func (e *Entry) sendRunning(f *flight) {
-	report := message.Running{Runs: []message.RunningOne{e.running(f)}}
+	report := message.Running{Runs: []message.Run{e.running(f)}}
 	if f.onShare {
 		e.perform(e.shareScheduler.Running(e.now, e.cfg.Self.Incarnation, report), fromShare)
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-func (e *Entry) running(f *flight) message.RunningOne {
-	return message.RunningOne{Offer: e.offer(f), Tokens: f.tokens, Started: f.started, Age: e.now.Sub(f.dispatched)}
+func (e *Entry) running(f *flight) message.Run {
+	return message.Run{Offer: e.offer(f), Tokens: f.tokens, Started: f.started, Age: e.now.Sub(f.dispatched)}
 }
 
 // runProgress records the tokens of a run, which preemption compares, and
@@ -110,7 +110,7 @@
 
 // notAdmitted places a request again after its target provably did not take it.
 func (e *Entry) notAdmitted(f *flight, result message.Result) {
-	e.ids.Undispatched(e.now, f.req.ID)
+	e.ids.RevertDispatch(e.now, f.req.ID)
 	e.evictable.addWaiting(f)
 	f.stage = stageWaiting
 	f.started = false
--- a/internal/core/entry/scripts_test.go
+++ b/internal/core/entry/scripts_test.go
@@ -75,7 +75,7 @@
 	l := newSingleEntry(testDocument("first", 0))
 	run := dispatched(l.submit(1, longDeadline))[0]
 	f := l.flights[run.ID]
-	report := message.Running{Runs: []message.RunningOne{l.running(f)}}
+	report := message.Running{Runs: []message.Run{l.running(f)}}
 	l.step(RunEnded{ID: run.ID, Result: message.ResultComplete, Wrote: true})
 	l.deliver(l.cfg.Self.Incarnation, report, fromScheduler)
 	for _, v := range l.Entry.scheduler.Inspect(l.now) {
@@ -97,7 +97,7 @@
 	if got := settledReasons(outs); len(got) != 1 || got[0] != string(outcome.ReasonMalformed) {
 		t.Errorf("settled with %v", got)
 	}
-	reply := l.stateFor("inc-9", message.OwnerAsk{ID: run.ID, Tag: 1})
+	reply := l.stateFor("inc-9", message.OwnerRequest{ID: run.ID, Tag: 1})
 	if reply.Status.Outcome != outcome.NotRun || reply.Target != "" {
 		t.Errorf("a peer got %+v", reply)
 	}
--- a/internal/core/floors/floors.go
+++ b/internal/core/floors/floors.go
@@ -122,24 +122,24 @@
 }
 
 // Begin is BeginWith for a requester that has no candidate of its own.
-func (f *Floors) Begin(now time.Time, name string, t request.Tier, need message.Offer) (message.FloorAsk, []ident.Incarnation, []Result) {
+func (f *Floors) Begin(now time.Time, name string, t request.Tier, need message.Offer) (message.FloorRequest, []ident.Incarnation, []Result) {
 	return f.BeginWith(now, name, t, need, Candidate{})
 }
 
 // BeginWith starts an exchange, unless one is running for the same pool and tier.
 // It returns the request and its addressees. If there are none, it returns the
 // results at once. own is the requester's own candidate.
-func (f *Floors) BeginWith(now time.Time, name string, t request.Tier, need message.Offer, own Candidate) (message.FloorAsk, []ident.Incarnation, []Result) {
+func (f *Floors) BeginWith(now time.Time, name string, t request.Tier, need message.Offer, own Candidate) (message.FloorRequest, []ident.Incarnation, []Result) {
 	p := f.pool(name)
 	if p.exchange(t) != nil {
-		return message.FloorAsk{}, nil, nil
+		return message.FloorRequest{}, nil, nil
 	}
 	p.dropDeparted(now)
 	f.seq++
 	e := &exchange{tier: t, seq: f.seq, sent: now, valid: f.duration, pending: p.members()}
 	e.consider(own)
 	p.addExchange(e)
-	ask := message.FloorAsk{Seq: e.seq, Pool: name, Tier: t, For: f.duration, Need: need}
+	ask := message.FloorRequest{Seq: e.seq, Pool: name, Tier: t, For: f.duration, Need: need}
 	if len(e.pending) == 0 {
 		return ask, nil, f.conclude(now, p, e, nil)
 	}
@@ -157,16 +157,16 @@
 		return nil
 	}
 	var results []Result
-	if r.Room != "" && r.Cost > 0 {
-		e.consider(Candidate{Target: r.Room, Cost: r.Cost})
-	} else if r.Room != "" {
+	if r.FreeTarget != "" && r.PreemptionCost > 0 {
+		e.consider(Candidate{Target: r.FreeTarget, Cost: r.PreemptionCost})
+	} else if r.FreeTarget != "" {
 		e.hasCapacity, e.free = true, true
-		results = append(results, Result{Pool: r.Pool, Tier: r.Tier, Target: r.Room})
+		results = append(results, Result{Pool: r.Pool, Tier: r.Tier, Target: r.FreeTarget})
 	} else {
 		e.valid = min(e.valid, r.Valid)
-		e.lower = e.lower || r.Lower
-		e.preempting = e.preempting || r.Cutting
-		e.spared = e.spared || r.Dear
+		e.lower = e.lower || r.LowerRuns
+		e.preempting = e.preempting || r.Preempting
+		e.spared = e.spared || r.Spared
 	}
 	return f.conclude(now, p, e, results)
 }
--- a/internal/core/floors/floors_test.go
+++ b/internal/core/floors/floors_test.go
@@ -48,7 +48,7 @@
 		ask, _, _ := f.Begin(at(0), "p", 1, message.Offer{})
 		f.Reply(at(0), "b", promise(ask.Seq))
 		reply := promise(ask.Seq)
-		reply.Room = "u"
+		reply.FreeTarget = "u"
 		Expect(f.Reply(at(0), "c", reply)).To(Equal([]Result{{Pool: "p", Tier: 1, Target: "u"}, {Pool: "p", Tier: 1, Ended: true}}))
 		Expect(f.MayRefuse(at(0), "p", 1)).To(BeFalse())
 	})
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -101,7 +101,7 @@
 type Offer struct {
 	// Seq is the sequence number of the owner's offer. A grant repeats it, and
 	// its validity counts from when the owner sent that offer.
-	Ask          uint64              `cbor:"1,keyasint"`
+	Seq          uint64              `cbor:"1,keyasint"`
 	ID           ident.RequestID     `cbor:"2,keyasint"`
 	Target       string              `cbor:"3,keyasint"`
 	Organisation string              `cbor:"4,keyasint"`
@@ -118,7 +118,7 @@
 	FirstToken time.Duration `cbor:"13,keyasint,omitempty"`
 	// Isolated marks a suspect, which may run only at a target with no other
 	// suspect.
-	Alone bool `cbor:"14,keyasint,omitempty"`
+	Isolated bool `cbor:"14,keyasint,omitempty"`
 	// Final reports that the owner has no other target to try, so a refusal is
 	// the final outcome.
 	Final bool `cbor:"15,keyasint,omitempty"`
@@ -133,18 +133,18 @@
 // Grant assigns a slot. It expires when Valid has passed since the owner sent
 // the offer with the sequence number OfferSeq.
 type Grant struct {
-	Ask    uint64          `cbor:"1,keyasint"`
-	ID     ident.RequestID `cbor:"2,keyasint"`
-	Target string          `cbor:"3,keyasint"`
-	Valid  time.Duration   `cbor:"4,keyasint"`
+	OfferSeq uint64          `cbor:"1,keyasint"`
+	ID       ident.RequestID `cbor:"2,keyasint"`
+	Target   string          `cbor:"3,keyasint"`
+	Valid    time.Duration   `cbor:"4,keyasint"`
 }
 
 // Queued reports that an offer is queued, with the estimated wait.
 type Queued struct {
-	Ask    uint64          `cbor:"1,keyasint"`
-	ID     ident.RequestID `cbor:"2,keyasint"`
-	Target string          `cbor:"3,keyasint"`
-	Wait   time.Duration   `cbor:"4,keyasint"`
+	OfferSeq uint64          `cbor:"1,keyasint"`
+	ID       ident.RequestID `cbor:"2,keyasint"`
+	Target   string          `cbor:"3,keyasint"`
+	Wait     time.Duration   `cbor:"4,keyasint"`
 }
 
 // Refuse rejects an offer at this target. PoolWide reports that no target of the
@@ -155,10 +155,10 @@
 	Target     string          `cbor:"2,keyasint"`
 	Reason     outcome.Reason  `cbor:"3,keyasint"`
 	RetryAfter time.Duration   `cbor:"4,keyasint,omitempty"`
-	Settled    bool            `cbor:"5,keyasint,omitempty"`
+	PoolWide   bool            `cbor:"5,keyasint,omitempty"`
 	// Alternative is a target whose scheduler reported that it can accept the
 	// request.
-	Elsewhere string `cbor:"6,keyasint,omitempty"`
+	Alternative string `cbor:"6,keyasint,omitempty"`
 }
 
 // Preempt requests that the owner cancel a run in favour of a higher tier.
@@ -187,7 +187,7 @@
 	// ResultLeaving means not admitted because the target is leaving.
 	ResultLeaving
 	// ResultAborted means that the target crashed or aborted the answer.
-	ResultBroken
+	ResultAborted
 	// ResultCancelled means that the owner cancelled the run.
 	ResultCancelled
 	// ResultFailed means that the target is up and answered with an error of its
@@ -215,14 +215,14 @@
 // of them (Full) after a takeover, otherwise one that has just
 // been dispatched or has begun to answer.
 type Running struct {
-	Full bool         `cbor:"1,keyasint,omitempty"`
-	Runs []RunningOne `cbor:"2,keyasint"`
+	Full bool  `cbor:"1,keyasint,omitempty"`
+	Runs []Run `cbor:"2,keyasint"`
 	// TakenOver lists the targets whose takeover caused a full report.
-	Moved []string `cbor:"3,keyasint,omitempty"`
+	TakenOver []string `cbor:"3,keyasint,omitempty"`
 }
 
 // Run is one run at a target.
-type RunningOne struct {
+type Run struct {
 	Offer Offer `cbor:"1,keyasint"`
 	// Tokens is the number of tokens generated so far. Started reports that the
 	// first token was received.
@@ -233,7 +233,7 @@
 
 // FloorRequest requests a promise from the schedulers of a pool: to serve nothing
 // below Tier for the duration For. Need describes the request that found no slot.
-type FloorAsk struct {
+type FloorRequest struct {
 	Seq  uint64        `cbor:"1,keyasint"`
 	Pool string        `cbor:"2,keyasint"`
 	Tier request.Tier  `cbor:"3,keyasint"`
@@ -241,85 +241,85 @@
 	Need Offer         `cbor:"5,keyasint"`
 	// Final reports that the requester will refuse as soon as the floor is in
 	// force, so the addressee must preempt the lower runs that may be cancelled.
-	Last bool `cbor:"6,keyasint,omitempty"`
+	Final bool `cbor:"6,keyasint,omitempty"`
 	// MissesFirstToken reports that the request can still get a complete answer
 	// and would miss only the deadline of its first token, so runs that have cost
 	// far more are spared.
-	Late bool `cbor:"7,keyasint,omitempty"`
+	MissesFirstToken bool `cbor:"7,keyasint,omitempty"`
 }
 
 // FloorReply answers a FloorRequest: either FreeTarget is a target that can accept
 // the request now, or the sender promises the floor until Valid has passed since
 // the requester sent the FloorRequest with the same Seq.
 type FloorReply struct {
-	Seq   uint64        `cbor:"1,keyasint"`
-	Pool  string        `cbor:"2,keyasint"`
-	Tier  request.Tier  `cbor:"3,keyasint"`
-	Room  string        `cbor:"4,keyasint,omitempty"`
-	Valid time.Duration `cbor:"5,keyasint,omitempty"`
+	Seq        uint64        `cbor:"1,keyasint"`
+	Pool       string        `cbor:"2,keyasint"`
+	Tier       request.Tier  `cbor:"3,keyasint"`
+	FreeTarget string        `cbor:"4,keyasint,omitempty"`
+	Valid      time.Duration `cbor:"5,keyasint,omitempty"`
 	// LowerRuns reports that runs below Tier at the sender's targets cannot be
 	// cancelled. The requester waits for their end as long as the deadline of
 	// its request allows.
-	Lower bool `cbor:"6,keyasint,omitempty"`
+	LowerRuns bool `cbor:"6,keyasint,omitempty"`
 	// PreemptionCost is the cost so far, in tokens and at least 1, of the run that
 	// must be preempted to free a slot at FreeTarget; 0 if none must.
-	Cost int `cbor:"7,keyasint,omitempty"`
+	PreemptionCost int `cbor:"7,keyasint,omitempty"`
 	// Preempting reports that lower runs are being preempted there and end shortly.
-	Cutting bool `cbor:"8,keyasint,omitempty"`
+	Preempting bool `cbor:"8,keyasint,omitempty"`
 	// Spared reports that lower runs were spared there because of
 	// MissesFirstToken.
-	Dear bool `cbor:"9,keyasint,omitempty"`
+	Spared bool `cbor:"9,keyasint,omitempty"`
 }
 
 // OwnerRequest requests the state of an id from its owner. An owner that has never
 // received the id transfers it to the requester permanently.
-type OwnerAsk struct {
+type OwnerRequest struct {
 	Seq uint64          `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
 	// StateOnly marks a query for the state only: the requester never runs the
 	// request, and the id is not transferred.
-	Known bool `cbor:"3,keyasint,omitempty"`
+	StateOnly bool `cbor:"3,keyasint,omitempty"`
 	// OwnerDeparted reports that the owner has departed. The scheduler of the
 	// target of its run answers instead.
-	Orphan bool `cbor:"5,keyasint,omitempty"`
+	OwnerDeparted bool `cbor:"5,keyasint,omitempty"`
 	// Tag identifies the organisation that sent the id to the requester; see
 	// owner.Tag.
 	Tag uint32 `cbor:"4,keyasint,omitempty"`
 }
 
 // IDState is the state of an id at its owner.
-type Standing uint8
+type IDState uint8
 
 const (
 	// IDVoided means never received by the owner; only the requester may run it
 	// from now on.
-	StandingVoided Standing = iota
+	IDVoided IDState = iota
 	// IDWaiting means accepted and not dispatched yet.
-	StandingWaiting
+	IDWaiting
 	// IDRunning means dispatched. Target is where its stream can be attached to.
-	StandingRunning
+	IDRunning
 	// IDFinished means that Status is final.
-	StandingFinished
+	IDFinished
 	// IDTransferred means transferred earlier to Delegate, which must be queried
 	// instead.
-	StandingElsewhere
+	IDTransferred
 	// IDExpired means that the id is too old to be remembered; its outcome is
 	// unknown.
-	StandingExpired
+	IDExpired
 )
 
 // String returns the state's name for operators.
-func (s Standing) String() string {
+func (s IDState) String() string {
 	switch s {
-	case StandingVoided:
+	case IDVoided:
 		return "voided"
-	case StandingWaiting:
+	case IDWaiting:
 		return "waiting"
-	case StandingRunning:
+	case IDRunning:
 		return "running"
-	case StandingFinished:
+	case IDFinished:
 		return "finished"
-	case StandingElsewhere:
+	case IDTransferred:
 		return "elsewhere"
 	}
 	return "not remembered"
@@ -329,7 +329,7 @@
 type OwnerReply struct {
 	Seq      uint64            `cbor:"1,keyasint"`
 	ID       ident.RequestID   `cbor:"2,keyasint"`
-	Standing Standing          `cbor:"3,keyasint"`
+	State    IDState           `cbor:"3,keyasint"`
 	Status   outcome.Status    `cbor:"4,keyasint"`
 	Delegate ident.Incarnation `cbor:"5,keyasint,omitempty"`
 	// Target is where the request runs or ran, to attach to its stream.
@@ -338,7 +338,7 @@
 
 // ClaimRequest requests a claim of a key for a request from the coordinator of the
 // key's partition.
-type ClaimAsk struct {
+type ClaimRequest struct {
 	Key request.KeyHash `cbor:"1,keyasint"`
 	ID  ident.RequestID `cbor:"2,keyasint"`
 }
@@ -367,13 +367,13 @@
 	Fingerprint request.Fingerprint `cbor:"1,keyasint"`
 	// Crashes are the crashes of targets that were running the request, each as
 	// the target with the id of the crash.
-	Deaths    []string `cbor:"2,keyasint"`
-	Convicted bool     `cbor:"3,keyasint"`
-	Cleared   bool     `cbor:"4,keyasint,omitempty"`
+	Crashes     []string `cbor:"2,keyasint"`
+	Quarantined bool     `cbor:"3,keyasint"`
+	Cleared     bool     `cbor:"4,keyasint,omitempty"`
 }
 
 // DocumentRequest requests the document in force at a peer.
-type DocumentAsk struct{}
+type DocumentRequest struct{}
 
 // DocumentReply contains the accepted document and its version.
 type DocumentReply struct {
@@ -381,22 +381,22 @@
 	Data    []byte `cbor:"2,keyasint"`
 }
 
-func (Heartbeat) message()     {}
-func (Offer) message()         {}
-func (Withdraw) message()      {}
-func (Grant) message()         {}
-func (Queued) message()        {}
-func (Refuse) message()        {}
-func (Preempt) message()       {}
-func (Done) message()          {}
-func (Running) message()       {}
-func (FloorAsk) message()      {}
-func (FloorReply) message()    {}
-func (OwnerAsk) message()      {}
-func (OwnerReply) message()    {}
-func (ClaimAsk) message()      {}
-func (ClaimReply) message()    {}
-func (ClaimRelease) message()  {}
-func (Suspicion) message()     {}
-func (DocumentAsk) message()   {}
-func (DocumentReply) message() {}
+func (Heartbeat) message()       {}
+func (Offer) message()           {}
+func (Withdraw) message()        {}
+func (Grant) message()           {}
+func (Queued) message()          {}
+func (Refuse) message()          {}
+func (Preempt) message()         {}
+func (Done) message()            {}
+func (Running) message()         {}
+func (FloorRequest) message()    {}
+func (FloorReply) message()      {}
+func (OwnerRequest) message()    {}
+func (OwnerReply) message()      {}
+func (ClaimRequest) message()    {}
+func (ClaimReply) message()      {}
+func (ClaimRelease) message()    {}
+func (Suspicion) message()       {}
+func (DocumentRequest) message() {}
+func (DocumentReply) message()   {}
--- a/internal/core/owner/epoch.go
+++ b/internal/core/owner/epoch.go
@@ -17,7 +17,7 @@
 // record is the state of one id. It is kept small since there is one for each
 // request.
 type record struct {
-	state message.Standing
+	state message.IDState
 	// voidedIn is the epoch in which the id was voided.
 	voidedIn uint32
 	// tag identifies the organisation that sent the id; 0 if unknown.
@@ -36,14 +36,14 @@
 }
 
 func (r *record) admission() Admission {
-	if r.state == message.StandingVoided {
+	if r.state == message.IDVoided {
 		return Admission{
 			Kind:     KindVoided,
-			Standing: message.StandingElsewhere,
+			State:    message.IDTransferred,
 			Delegate: ident.Incarnation(r.location),
 		}
 	}
-	return Admission{Kind: KindKnown, Standing: r.state, Status: r.finalStatus(), Target: r.location}
+	return Admission{Kind: KindKnown, State: r.state, Status: r.finalStatus(), Target: r.location}
 }
 
 // epoch holds the ids with one prefix, and the ids adopted while that prefix was
@@ -85,7 +85,7 @@
 		own:        make(map[string]*record),
 		adopted:    make(map[ident.RequestID]*record),
 	}
-	e.extend(t.cfg.Longest)
+	e.extend(t.cfg.MaxDeadline)
 	t.epochs = append(t.epochs, e)
 }
 
@@ -137,8 +137,8 @@
 	case e == nil || !now.Before(e.expiresAt):
 		return nil, KindExpired, nil
 	case !now.Before(e.admitUntil):
-		return nil, KindLate, nil
-	case e.refused.has(string(id)) || t.count >= t.cfg.Max:
+		return nil, KindPrefixExpired, nil
+	case e.refused.has(string(id)) || t.count >= t.cfg.MaxIDs:
 		return e, KindFull, nil
 	}
 	return e, KindNew, nil
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -29,9 +29,9 @@
 	// each answer that contains it.
 	Period time.Duration
 	// MaxDeadline is the longest deadline that a request may have.
-	Longest time.Duration
+	MaxDeadline time.Duration
 	// MaxIDs bounds the remembered ids.
-	Max int
+	MaxIDs int
 	// Validity is how long an input may wait for the core; see Overdue.
 	Validity time.Duration
 }
@@ -46,12 +46,12 @@
 	// KindKnown means received before. State, Status and Target describe it.
 	KindKnown
 	// KindRemote means that another entry owns the id. Owner must be queried.
-	KindForeign
+	KindRemote
 	// KindExpired means too old to be remembered. The outcome is unknown.
 	KindExpired
 	// KindPrefixExpired means never received, with a prefix that is no longer
 	// valid. The request did not run and never will, so it is refused as "not run".
-	KindLate
+	KindPrefixExpired
 	// KindFull means that there is no memory for the id. The request did not run
 	// and never will, so it is refused as "not run".
 	KindFull
@@ -63,9 +63,9 @@
 
 // Admission is the result of Admit and State.
 type Admission struct {
-	Kind     Kind
-	Standing message.Standing
-	Status   outcome.Status
+	Kind   Kind
+	State  message.IDState
+	Status outcome.Status
 	// Target is where the request runs or ran.
 	Target string
 	// Owner is set for KindRemote, Delegate for KindVoided.
@@ -96,7 +96,7 @@
 func (t *Table) Configure(now time.Time, period, maxDeadline time.Duration, limit int) {
 	t.advance(now)
 	renewed := period != t.cfg.Period
-	t.cfg.Period, t.cfg.Longest, t.cfg.Max = period, maxDeadline, limit
+	t.cfg.Period, t.cfg.MaxDeadline, t.cfg.MaxIDs = period, maxDeadline, limit
 	for _, e := range t.epochs {
 		if e.empty() {
 			// A starting entry does not have the longest deadline of the document
@@ -140,15 +140,15 @@
 		if t.adoptionRefused(id) {
 			return Admission{Kind: KindFull}
 		}
-		return Admission{Kind: KindForeign, Owner: parts.Owner}
+		return Admission{Kind: KindRemote, Owner: parts.Owner}
 	}
 	e, kind, err := t.checkAndRecord(now, id, parts)
 	if kind != KindNew {
 		return Admission{Kind: kind, Err: err}
 	}
-	e.own[strings.Clone(parts.Suffix)] = &record{state: message.StandingWaiting}
+	e.own[strings.Clone(parts.Suffix)] = &record{state: message.IDWaiting}
 	t.count++
-	return Admission{Kind: KindNew, Standing: message.StandingWaiting}
+	return Admission{Kind: KindNew, State: message.IDWaiting}
 }
 
 // Adopt makes this incarnation the owner of an id that its owner voided in its
@@ -161,20 +161,20 @@
 	if err != nil || parts.Owner == t.cfg.Self || t.find(id, parts) != nil || t.adoptionRefused(id) {
 		return false
 	}
-	if t.count >= t.cfg.Max {
+	if t.count >= t.cfg.MaxIDs {
 		e.refused.add(string(id))
 		return false
 	}
-	e.adopted[ident.RequestID(strings.Clone(string(id)))] = &record{state: message.StandingWaiting}
+	e.adopted[ident.RequestID(strings.Clone(string(id)))] = &record{state: message.IDWaiting}
 	t.count++
 	return true
 }
 
 // Query answers a peer that received a request with this id. An id that was never
 // received here is voided permanently in favour of the requester.
-func (t *Table) Ask(now time.Time, asker ident.Incarnation, id ident.RequestID) message.OwnerReply {
+func (t *Table) Query(now time.Time, asker ident.Incarnation, id ident.RequestID) message.OwnerReply {
 	t.advance(now)
-	reply := message.OwnerReply{ID: id, Standing: message.StandingExpired}
+	reply := message.OwnerReply{ID: id, State: message.IDExpired}
 	parts, err := ident.Parse(id)
 	if err != nil {
 		return reply
@@ -188,19 +188,19 @@
 	e, kind, _ := t.checkAndRecord(now, id, parts)
 	switch kind {
 	case KindFull:
-		reply.Standing = message.StandingFinished
+		reply.State = message.IDFinished
 		reply.Status = outcome.Refused(outcome.ReasonEntryFull, 0, "its owner remembers as many ids as it may")
-	case KindLate:
-		reply.Standing = message.StandingFinished
+	case KindPrefixExpired:
+		reply.State = message.IDFinished
 		reply.Status = outcome.Refused(outcome.ReasonIDExpired, 0, "the id prefix is no longer good")
 	case KindNew:
 		e.own[strings.Clone(parts.Suffix)] = &record{
-			state:    message.StandingVoided,
+			state:    message.IDVoided,
 			location: string(asker),
 			voidedIn: t.current().number,
 		}
 		t.count++
-		reply.Standing = message.StandingVoided
+		reply.State = message.IDVoided
 	}
 	return reply
 }
@@ -210,16 +210,16 @@
 // within the epoch of the voiding. A delegate remembers an adopted id for longer
 // than that, so it cannot adopt the id a second time after dropping it.
 func (t *Table) replyOf(r *record, asker ident.Incarnation, reply message.OwnerReply) message.OwnerReply {
-	if r.state != message.StandingVoided {
-		reply.Standing, reply.Target = r.state, r.location
+	if r.state != message.IDVoided {
+		reply.State, reply.Target = r.state, r.location
 		reply.Status = r.finalStatus()
 		return reply
 	}
 	if ident.Incarnation(r.location) == asker && r.voidedIn == t.current().number {
-		reply.Standing = message.StandingVoided
+		reply.State = message.IDVoided
 		return reply
 	}
-	reply.Standing = message.StandingElsewhere
+	reply.State = message.IDTransferred
 	reply.Delegate = ident.Incarnation(r.location)
 	return reply
 }
@@ -228,22 +228,22 @@
 // it is allowed. It is the only guard of "dispatched at most once": it must be
 // called before every dispatch. It returns false for an id that is not waiting:
 // voided, running, finished, expired or unknown here.
-func (t *Table) Dispatched(now time.Time, id ident.RequestID, target string) bool {
+func (t *Table) RecordDispatch(now time.Time, id ident.RequestID, target string) bool {
 	r := t.lookup(now, id)
-	if r == nil || r.state != message.StandingWaiting {
+	if r == nil || r.state != message.IDWaiting {
 		return false
 	}
-	r.state, r.location = message.StandingRunning, target
+	r.state, r.location = message.IDRunning, target
 	return true
 }
 
 // RevertDispatch reverts a dispatch that the target provably did not accept.
-func (t *Table) Undispatched(now time.Time, id ident.RequestID) bool {
+func (t *Table) RevertDispatch(now time.Time, id ident.RequestID) bool {
 	r := t.lookup(now, id)
-	if r == nil || r.state != message.StandingRunning {
+	if r == nil || r.state != message.IDRunning {
 		return false
 	}
-	r.state, r.location = message.StandingWaiting, ""
+	r.state, r.location = message.IDWaiting, ""
 	return true
 }
 
@@ -251,17 +251,17 @@
 // false if there was one already, or if the id is not owned here.
 func (t *Table) Finish(now time.Time, id ident.RequestID, status outcome.Status) bool {
 	r := t.lookup(now, id)
-	if r == nil || (r.state != message.StandingWaiting && r.state != message.StandingRunning) {
+	if r == nil || (r.state != message.IDWaiting && r.state != message.IDRunning) {
 		return false
 	}
-	r.state = message.StandingFinished
+	r.state = message.IDFinished
 	r.status = t.shareStatus(status)
 	return true
 }
 
 // State returns the state of an id. For an own id that is not remembered, the
 // result is the one that Admit would return, but nothing is recorded.
-func (t *Table) Standing(now time.Time, id ident.RequestID) Admission {
+func (t *Table) State(now time.Time, id ident.RequestID) Admission {
 	t.advance(now)
 	parts, err := ident.Parse(id)
 	if err != nil {
@@ -271,7 +271,7 @@
 		return r.admission()
 	}
 	if parts.Owner != t.cfg.Self {
-		return Admission{Kind: KindForeign, Owner: parts.Owner}
+		return Admission{Kind: KindRemote, Owner: parts.Owner}
 	}
 	_, kind, err := t.check(now, id, parts)
 	return Admission{Kind: kind, Err: err}
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -29,7 +29,7 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 func table(self ident.Incarnation, limit int) *owner.Table {
-	return owner.New(owner.Config{Self: self, Period: period, Longest: longest, Max: limit, Validity: time.Second}, start)
+	return owner.New(owner.Config{Self: self, Period: period, MaxDeadline: longest, MaxIDs: limit, Validity: time.Second}, start)
 }
 
 var _ = Describe("Table", func() {
@@ -41,26 +41,26 @@
 	DescribeTable("decides on an unknown id by its epoch and age",
 		func(now time.Duration, id ident.RequestID, want owner.Kind) {
 			t := table(a, 10)
-			Expect(t.Standing(at(now), id).Kind).To(Equal(want))
+			Expect(t.State(at(now), id).Kind).To(Equal(want))
 			Expect(t.Admit(at(now), id).Kind).To(Equal(want))
 		},
 		Entry("at once", time.Duration(0), id, owner.KindNew),
 		Entry("handed out last in its epoch, used last", 39*time.Second, id, owner.KindNew),
 		Entry("within the grace time", 44*time.Second, id, owner.KindNew),
-		Entry("after the grace time", 45*time.Second, id, owner.KindLate),
+		Entry("after the grace time", 45*time.Second, id, owner.KindPrefixExpired),
 		Entry("after the longest deadline", 105*time.Second, id, owner.KindExpired),
 		Entry("of a prefix not handed out yet", time.Duration(0), ident.PrefixFor(a, 1).ID("x"), owner.KindMalformed),
 		Entry("of an epoch skipped by a pause", 10*time.Minute, ident.PrefixFor(a, 5).ID("x"), owner.KindExpired),
-		Entry("of another owner", time.Duration(0), ident.PrefixFor(b, 9).ID("x"), owner.KindForeign),
+		Entry("of another owner", time.Duration(0), ident.PrefixFor(b, 9).ID("x"), owner.KindRemote),
 		Entry("without an owner", time.Duration(0), ident.RequestID("x"), owner.KindMalformed),
 	)
 
 	It("returns the current state for each repeated request", func() {
 		t := table(a, 10)
 		Expect(t.Admit(start, id).Kind).To(Equal(owner.KindNew))
-		Expect(t.Admit(start, id).Standing).To(Equal(message.StandingWaiting))
-		Expect(t.Dispatched(start, id, "t1")).To(BeTrue())
-		Expect(t.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindKnown, Standing: message.StandingRunning, Target: "t1"}))
+		Expect(t.Admit(start, id).State).To(Equal(message.IDWaiting))
+		Expect(t.RecordDispatch(start, id, "t1")).To(BeTrue())
+		Expect(t.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindKnown, State: message.IDRunning, Target: "t1"}))
 		Expect(t.Finish(start, id, refusal)).To(BeTrue())
 		Expect(t.Finish(start, id, outcome.Complete())).To(BeFalse())
 		Expect(t.Admit(at(104*time.Second), id).Status).To(Equal(refusal))
@@ -70,15 +70,15 @@
 
 	It("dispatches again only if the target provably did not accept the request", func() {
 		t := table(a, 10)
-		Expect(t.Dispatched(start, id, "t1")).To(BeFalse(), "not admitted")
+		Expect(t.RecordDispatch(start, id, "t1")).To(BeFalse(), "not admitted")
 		t.Admit(start, id)
-		Expect(t.Dispatched(start, id, "t1")).To(BeTrue())
-		Expect(t.Dispatched(start, id, "t2")).To(BeFalse())
-		Expect(t.Undispatched(start, id)).To(BeTrue())
-		Expect(t.Dispatched(start, id, "t2")).To(BeTrue())
+		Expect(t.RecordDispatch(start, id, "t1")).To(BeTrue())
+		Expect(t.RecordDispatch(start, id, "t2")).To(BeFalse())
+		Expect(t.RevertDispatch(start, id)).To(BeTrue())
+		Expect(t.RecordDispatch(start, id, "t2")).To(BeTrue())
 		t.Finish(start, id, outcome.Complete())
-		Expect(t.Undispatched(start, id)).To(BeFalse())
-		Expect(t.Dispatched(start, id, "t3")).To(BeFalse())
+		Expect(t.RevertDispatch(start, id)).To(BeFalse())
+		Expect(t.RecordDispatch(start, id, "t3")).To(BeFalse())
 	})
 
 	It("keeps the expiry of remembered ids when settings change", func() {
@@ -97,20 +97,20 @@
 	// reply, but not once it may have dropped the id.
 	It("lets only one of three entries run an id sent to all", func() {
 		ta, tb, tc := table(a, 10), table(b, 10), table(c, 10)
-		Expect(tb.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindForeign, Owner: a}))
-		Expect(ta.Ask(start, b, id).Standing).To(Equal(message.StandingVoided))
+		Expect(tb.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindRemote, Owner: a}))
+		Expect(ta.Query(start, b, id).State).To(Equal(message.IDVoided))
 		Expect(tb.Adopt(start, id)).To(BeTrue())
 		Expect(tb.Adopt(start, id)).To(BeFalse())
-		reply := ta.Ask(start, c, id)
-		Expect(reply.Standing).To(Equal(message.StandingElsewhere))
+		reply := ta.Query(start, c, id)
+		Expect(reply.State).To(Equal(message.IDTransferred))
 		Expect(reply.Delegate).To(Equal(b))
-		Expect(tc.Dispatched(start, id, "t")).To(BeFalse())
-		Expect(ta.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindVoided, Standing: message.StandingElsewhere, Delegate: b}))
-		Expect(ta.Dispatched(start, id, "t")).To(BeFalse())
-		Expect(tb.Dispatched(start, id, "t")).To(BeTrue())
-		Expect(tb.Ask(start, c, id).Standing).To(Equal(message.StandingRunning))
-		Expect(ta.Ask(at(19*time.Second), b, id).Standing).To(Equal(message.StandingVoided))
-		Expect(ta.Ask(at(20*time.Second), b, id).Standing).To(Equal(message.StandingElsewhere))
+		Expect(tc.RecordDispatch(start, id, "t")).To(BeFalse())
+		Expect(ta.Admit(start, id)).To(Equal(owner.Admission{Kind: owner.KindVoided, State: message.IDTransferred, Delegate: b}))
+		Expect(ta.RecordDispatch(start, id, "t")).To(BeFalse())
+		Expect(tb.RecordDispatch(start, id, "t")).To(BeTrue())
+		Expect(tb.Query(start, c, id).State).To(Equal(message.IDRunning))
+		Expect(ta.Query(at(19*time.Second), b, id).State).To(Equal(message.IDVoided))
+		Expect(ta.Query(at(20*time.Second), b, id).State).To(Equal(message.IDTransferred))
 		Expect(tb.Admit(at(20*time.Second), id).Kind).To(Equal(owner.KindKnown))
 	})
 
@@ -118,12 +118,12 @@
 	// neither transfer it again nor run it: the delegate may have dispatched it.
 	It("never transfers an id twice when the delegate has crashed", func() {
 		t := table(a, 10)
-		t.Ask(start, b, id)
+		t.Query(start, b, id)
 		for now := time.Duration(0); now < 105*time.Second; now += 5 * time.Second {
-			Expect(t.Ask(at(now), c, id).Delegate).To(Equal(b))
-			Expect(t.Dispatched(at(now), id, "t")).To(BeFalse())
+			Expect(t.Query(at(now), c, id).Delegate).To(Equal(b))
+			Expect(t.RecordDispatch(at(now), id, "t")).To(BeFalse())
 		}
-		Expect(t.Ask(at(105*time.Second), c, id).Standing).To(Equal(message.StandingExpired))
+		Expect(t.Query(at(105*time.Second), c, id).State).To(Equal(message.IDExpired))
 	})
 
 	// The owner is paused with a waiting request and resumes after all ids have
@@ -134,7 +134,7 @@
 		t.Admit(start, id)
 		Expect(t.Overdue(at(2*time.Second), start)).To(BeTrue())
 		Expect(t.Overdue(at(time.Second), start)).To(BeFalse())
-		Expect(t.Dispatched(at(time.Hour), id, "t")).To(BeFalse())
+		Expect(t.RecordDispatch(at(time.Hour), id, "t")).To(BeFalse())
 		Expect(t.Admit(at(time.Hour), id).Kind).To(Equal(owner.KindExpired))
 	})
 
@@ -145,7 +145,7 @@
 		t.Admit(start, ident.PrefixFor(a, 0).ID("other"))
 		Expect(t.Admit(start, id).Kind).To(Equal(owner.KindFull))
 		asked := ident.PrefixFor(a, 0).ID("asked")
-		Expect(t.Ask(start, b, asked).Status.Reason).To(Equal(outcome.ReasonEntryFull))
+		Expect(t.Query(start, b, asked).Status.Reason).To(Equal(outcome.ReasonEntryFull))
 		adopted := ident.PrefixFor(b, 0).ID("adopted")
 		Expect(t.Adopt(start, adopted)).To(BeFalse())
 		t.Configure(start, period, longest, 10)
@@ -178,16 +178,16 @@
 			epoch := uint32(rapid.IntRange(0, int(now.Sub(start)/period)).Draw(rt, "epoch"))
 			id := ident.PrefixFor(selves[ownerIndex], epoch).ID(fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "suffix")))
 			found := tables[i].Admit(now, id)
-			refused[id] = refused[id] || found.Kind == owner.KindFull || found.Kind == owner.KindLate
-			if found.Kind == owner.KindForeign {
-				reply := tables[ownerIndex].Ask(now, selves[i], id)
+			refused[id] = refused[id] || found.Kind == owner.KindFull || found.Kind == owner.KindPrefixExpired
+			if found.Kind == owner.KindRemote {
+				reply := tables[ownerIndex].Query(now, selves[i], id)
 				refused[id] = refused[id] || reply.Status.Outcome == outcome.NotRun
 				lost := rapid.Bool().Draw(rt, "reply lost")
-				if !lost && reply.Standing == message.StandingVoided && !tables[i].Adopt(now, id) {
+				if !lost && reply.State == message.IDVoided && !tables[i].Adopt(now, id) {
 					refused[id] = true
 				}
 			}
-			if rapid.Bool().Draw(rt, "dispatch") && tables[i].Dispatched(now, id, "t") {
+			if rapid.Bool().Draw(rt, "dispatch") && tables[i].RecordDispatch(now, id, "t") {
 				dispatched[id]++
 			}
 			if dispatched[id] > 1 || (dispatched[id] > 0 && refused[id]) {
@@ -210,7 +210,7 @@
 	bench.ResetTimer()
 	for _, id := range ids {
 		t.Admit(start, id)
-		t.Dispatched(start, id, "target-1")
+		t.RecordDispatch(start, id, "target-1")
 		t.Finish(start, id, outcome.Complete())
 	}
 	bench.StopTimer()
--- a/internal/core/owner/tag.go
+++ b/internal/core/owner/tag.go
@@ -18,14 +18,14 @@
 // this check, an organisation that sends the id of another one's request, by
 // guessing it or from a log, would receive its answer. An id that is not
 // remembered belongs to the first organisation that sends it.
-func (t *Table) Belongs(now time.Time, id ident.RequestID, tag uint32) bool {
+func (t *Table) Accessible(now time.Time, id ident.RequestID, tag uint32) bool {
 	r := t.lookup(now, id)
 	return r == nil || r.tag == 0 || tag == 0 || r.tag == tag
 }
 
 // SetTag records the tag of the organisation that sent a remembered id. Only the
 // first call for an id has an effect.
-func (t *Table) Mark(now time.Time, id ident.RequestID, tag uint32) {
+func (t *Table) SetTag(now time.Time, id ident.RequestID, tag uint32) {
 	if r := t.lookup(now, id); r != nil && r.tag == 0 {
 		r.tag = tag
 	}
--- a/internal/core/record/record.go
+++ b/internal/core/record/record.go
@@ -19,7 +19,7 @@
 	// StreamDocuments holds published documents and their renewals.
 	StreamDocuments Stream = "documents"
 	// StreamQuarantines holds quarantines of requests that crash targets.
-	StreamVerdicts Stream = "verdicts"
+	StreamQuarantines Stream = "verdicts"
 	// StreamOrders holds orders to targets. The offset of an order is its
 	// fencing number.
 	StreamOrders Stream = "orders"
@@ -33,11 +33,11 @@
 
 // Record is the content of one append. Exactly one field is set.
 type Record struct {
-	Document *Document `cbor:"1,keyasint,omitempty"`
-	Claims   []Claim   `cbor:"2,keyasint,omitempty"`
-	Releases []Claim   `cbor:"3,keyasint,omitempty"`
-	Verdicts []Verdict `cbor:"4,keyasint,omitempty"`
-	Order    *Order    `cbor:"5,keyasint,omitempty"`
+	Document    *Document    `cbor:"1,keyasint,omitempty"`
+	Claims      []Claim      `cbor:"2,keyasint,omitempty"`
+	Releases    []Claim      `cbor:"3,keyasint,omitempty"`
+	Quarantines []Quarantine `cbor:"4,keyasint,omitempty"`
+	Order       *Order       `cbor:"5,keyasint,omitempty"`
 }
 
 // Document holds the JSON encoding of a document.Document.
@@ -60,9 +60,9 @@
 }
 
 // Quarantine excludes a request that crashes targets from execution.
-type Verdict struct {
+type Quarantine struct {
 	Fingerprint request.Fingerprint `cbor:"1,keyasint"`
-	Deaths      []string            `cbor:"2,keyasint,omitempty"`
+	Crashes     []string            `cbor:"2,keyasint,omitempty"`
 }
 
 // Order is the model, version and adapters that a target must hold. It is
--- a/internal/core/scheduler/bench_test.go
+++ b/internal/core/scheduler/bench_test.go
@@ -30,7 +30,7 @@
 	seq := 0
 	next := func(target int) message.Offer {
 		seq++
-		return message.Offer{Ask: uint64(seq), ID: ident.RequestID(fmt.Sprintf("r.%d", seq)), Target: list[target].Name,
+		return message.Offer{Seq: uint64(seq), ID: ident.RequestID(fmt.Sprintf("r.%d", seq)), Target: list[target].Name,
 			Organisation: fmt.Sprintf("org%d", seq%50), Tier: request.Tier(seq % 4), PromptTokens: 100 + seq%2000, MaxTokens: 200,
 			Idempotent: true, Remaining: time.Hour + time.Duration(seq%1000)*time.Millisecond}
 	}
@@ -81,7 +81,7 @@
 	s.SetTargets(now, []Target{{Name: "t", Pool: "p", MaxInFlight: 32, PrefillRate: 8000, StepTime: 20 * time.Millisecond}})
 	now = now.Add(2 * time.Second)
 	offer := func(i int) message.Offer {
-		return message.Offer{Ask: 1, ID: ident.RequestID(fmt.Sprintf("r.%d", i)), Target: "t", Organisation: "x",
+		return message.Offer{Seq: 1, ID: ident.RequestID(fmt.Sprintf("r.%d", i)), Target: "t", Organisation: "x",
 			PromptTokens: 100, MaxTokens: 200, Remaining: time.Hour, Final: true}
 	}
 	for i := range 32 + 64 {
@@ -91,7 +91,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		effects := s.Offer(now, "self", offer(100+i))
-		if r, ok := effects[0].Message.(message.Refuse); !ok || !r.Settled {
+		if r, ok := effects[0].Message.(message.Refuse); !ok || !r.PoolWide {
 			b.Fatal(effects)
 		}
 	}
--- a/internal/core/scheduler/capacity.go
+++ b/internal/core/scheduler/capacity.go
@@ -69,7 +69,7 @@
 }
 
 func (s *Scheduler) capacityAt(t *target, need message.Offer) capacityKind {
-	if !t.acceptsGrants() || s.lowestGrantable(t).Above(need.Tier) || need.Alone && t.suspects > 0 {
+	if !t.acceptsGrants() || s.lowestGrantable(t).Above(need.Tier) || need.Isolated && t.suspects > 0 {
 		return capacityNone
 	}
 	o := s.newOffer(t, s.self, need)
--- a/internal/core/scheduler/holding.go
+++ b/internal/core/scheduler/holding.go
@@ -163,7 +163,7 @@
 	h.allowsLate = h.preemptsLower && h.completableLate(s)
 	own := s.ownCandidate(h.need)
 	m, others, results := s.floors.BeginWith(s.now, h.key.pool, h.key.tier, h.need.current(s.now), own)
-	m.Last, m.Late = h.preemptsLower, h.allowsLate
+	m.Final, m.MissesFirstToken = h.preemptsLower, h.allowsLate
 	for _, who := range others {
 		s.send(who, m)
 	}
--- a/internal/core/scheduler/invariants_test.go
+++ b/internal/core/scheduler/invariants_test.go
@@ -46,10 +46,10 @@
 }
 
 func (w *world) checkRefusal(from ident.Incarnation, m message.Refuse) {
-	if m.Settled && m.Reason == outcome.ReasonDeadline {
+	if m.PoolWide && m.Reason == outcome.ReasonDeadline {
 		w.checkDeadlineRefusal(m)
 	}
-	if !m.Settled || !m.Reason.CapacityRelated() || m.Reason == outcome.ReasonDeadlinePassed || m.Reason == outcome.ReasonDeadline {
+	if !m.PoolWide || !m.Reason.CapacityRelated() || m.Reason == outcome.ReasonDeadlinePassed || m.Reason == outcome.ReasonDeadline {
 		return
 	}
 	c := w.requests[m.ID]
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -68,7 +68,7 @@
 		ID:           m.ID,
 		Tier:         m.Tier,
 		Organisation: m.Organisation,
-		Lane:         t.lane(m.PromptTokens, m.Alone, service),
+		Lane:         t.lane(m.PromptTokens, m.Isolated, service),
 		Cost:         m.PromptTokens + m.MaxTokens,
 		Prompt:       m.PromptTokens - t.cached(m),
 	}
@@ -96,7 +96,7 @@
 	s.advance(now)
 	t := s.targets[m.Target]
 	if t == nil {
-		s.send(from, message.Refuse{ID: m.ID, Target: m.Target, Reason: outcome.ReasonNone, Elsewhere: m.Target})
+		s.send(from, message.Refuse{ID: m.ID, Target: m.Target, Reason: outcome.ReasonNone, Alternative: m.Target})
 		return s.takeEffects()
 	}
 	if r := t.runs[m.ID]; r != nil {
@@ -136,14 +136,14 @@
 }
 
 func (s *Scheduler) sendQueued(o *offer) {
-	s.send(o.from, message.Queued{Ask: o.msg.Ask, ID: o.ID, Target: o.msg.Target, Wait: o.target.wait(o)})
+	s.send(o.from, message.Queued{OfferSeq: o.msg.Seq, ID: o.ID, Target: o.msg.Target, Wait: o.target.wait(o)})
 }
 
 func (s *Scheduler) refresh(o *offer, from ident.Incarnation, m message.Offer) {
-	if from != o.from || m.Ask <= o.msg.Ask {
+	if from != o.from || m.Seq <= o.msg.Seq {
 		return
 	}
-	o.msg.Ask = m.Ask
+	o.msg.Seq = m.Seq
 	o.refreshed = s.now
 	o.final = o.final || m.Final
 	s.timers.set(o, o.nextTimer(s))
@@ -156,13 +156,13 @@
 // as a new offer: the first grant may have been lost, and a new one would let
 // this request overtake the higher one.
 func (s *Scheduler) regrant(r *run, from ident.Incarnation, m message.Offer) {
-	if from != r.from || m.Ask <= r.offer.Ask || r.reported || r.preempting {
+	if from != r.from || m.Seq <= r.offer.Seq || r.reported || r.preempting {
 		return
 	}
 	if s.lowestGrantable(r.target).Above(r.offer.Tier) || r.target.queue.CountAbove(r.offer.Tier) > 0 {
 		return
 	}
-	r.offer.Ask = m.Ask
+	r.offer.Seq = m.Seq
 	s.sendGrant(r, s.now)
 }
 
--- a/internal/core/scheduler/prefill.go
+++ b/internal/core/scheduler/prefill.go
@@ -40,7 +40,7 @@
 // cached returns how many of an offer's prompt tokens are expected in the
 // target's cache, based on previous requests of its class.
 func (t *target) cached(m message.Offer) int {
-	lane := t.lane(m.PromptTokens, m.Alone, m.Kind == request.Service)
+	lane := t.lane(m.PromptTokens, m.Isolated, m.Kind == request.Service)
 	return int(t.cachedShare[requestClass{m.Tier, lane}] * float64(m.PromptTokens))
 }
 
--- a/internal/core/scheduler/property_test.go
+++ b/internal/core/scheduler/property_test.go
@@ -140,7 +140,7 @@
 			w.checkEffects(l.to, s.Done(w.now, l.from, m))
 		case message.Running:
 			w.checkEffects(l.to, s.Running(w.now, l.from, m))
-		case message.FloorAsk:
+		case message.FloorRequest:
 			w.checkEffects(l.to, s.FloorAsk(w.now, l.from, m))
 		case message.FloorReply:
 			w.checkEffects(l.to, s.FloorReply(w.now, l.from, m))
@@ -189,7 +189,7 @@
 	c.sent[w.asks] = w.now
 	c.lastSent = w.now
 	o := c.offer
-	o.Ask = w.asks
+	o.Seq = w.asks
 	o.Remaining = c.deadline.Sub(w.now)
 	w.post("o", w.schedulerOf[o.Target], o)
 }
@@ -197,7 +197,7 @@
 func (w *world) granted(m message.Grant) {
 	c := w.requests[m.ID]
 	valid := c.offered && !c.running && c.answered == "" && m.Target == c.offer.Target
-	if !valid || !w.now.Before(c.sent[m.Ask].Add(m.Valid)) {
+	if !valid || !w.now.Before(c.sent[m.OfferSeq].Add(m.Valid)) {
 		return
 	}
 	c.running = true
@@ -211,13 +211,13 @@
 		return
 	}
 	switch {
-	case m.Settled:
+	case m.PoolWide:
 		c.answered = string(m.Reason)
 	case Moved(m):
 		c.offered = false // offered again by runOwner
-	case m.Elsewhere != "":
+	case m.Alternative != "":
 		c.redirected = w.now
-		w.offer(c, m.Elsewhere, false)
+		w.offer(c, m.Alternative, false)
 		w.stats["elsewhere"]++
 	case c.offer.Final:
 		c.offered = false
@@ -244,7 +244,7 @@
 
 // runOwner performs the owner's periodic work, every 20 ms.
 func (w *world) runOwner() {
-	runs := map[ident.Incarnation][]message.RunningOne{}
+	runs := map[ident.Incarnation][]message.Run{}
 	for _, c := range w.order {
 		switch {
 		case c.running && w.now.Sub(c.started) >= c.length:
@@ -254,7 +254,7 @@
 			o := c.offer
 			o.Remaining = c.deadline.Sub(w.now)
 			assigned := w.schedulerOf[o.Target]
-			runs[assigned] = append(runs[assigned], message.RunningOne{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
+			runs[assigned] = append(runs[assigned], message.Run{Offer: o, Age: w.now.Sub(c.started), Started: w.now.Sub(c.started) > c.length/2})
 		case c.answered == "" && !c.offered:
 			w.offer(c, c.offer.Target, c.offer.Final)
 		case c.answered == "" && w.now.Sub(c.lastSent) >= w.set.GrantTime/2:
--- a/internal/core/scheduler/report.go
+++ b/internal/core/scheduler/report.go
@@ -21,10 +21,10 @@
 type bufferedReport struct {
 	from ident.Incarnation
 	at   time.Time
-	run  message.RunningOne
+	run  message.Run
 }
 
-func (b *reportBuffer) add(s *Scheduler, from ident.Incarnation, one message.RunningOne) {
+func (b *reportBuffer) add(s *Scheduler, from ident.Incarnation, one message.Run) {
 	if b.reports == nil {
 		b.reports = make(map[ident.RequestID]bufferedReport)
 	}
@@ -79,13 +79,13 @@
 		s.fill(t)
 	}
 	if m.Full {
-		s.fullReports.add(s, from, m.Moved)
+		s.fullReports.add(s, from, m.TakenOver)
 		s.reconcile(from, m)
 	}
 	return s.takeEffects()
 }
 
-func (s *Scheduler) reportOne(t *target, from ident.Incarnation, one message.RunningOne) {
+func (s *Scheduler) reportOne(t *target, from ident.Incarnation, one message.Run) {
 	if o := t.offers[one.Offer.ID]; o != nil && o.from == from {
 		// It runs under a grant of a previous scheduler.
 		s.remove(o)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *Scheduler) reportedRun(t *target, from ident.Incarnation, one message.RunningOne) *run {
+func (s *Scheduler) reportedRun(t *target, from ident.Incarnation, one message.Run) *run {
 	m := one.Offer
 	work := m.PromptTokens - t.cached(m)
 	service := t.estimator.Total(work, 0, m.MaxTokens, 0, len(t.runs))
@@ -124,7 +124,7 @@
 		uncachedPrompt: work,
 		from:           from,
 		target:         t,
-		lane:           t.lane(m.PromptTokens, m.Alone, m.Kind == request.Service),
+		lane:           t.lane(m.PromptTokens, m.Isolated, m.Kind == request.Service),
 		began:          began,
 		service:        service,
 		expectedEnd:    began.Add(service),
--- a/internal/core/scheduler/run.go
+++ b/internal/core/scheduler/run.go
@@ -133,7 +133,7 @@
 	valid := s.now.Sub(refreshed) + s.settings.GrantTime
 	r.grantExpiry = s.now.Add(2 * s.settings.GrantTime)
 	s.timers.set(r, r.nextTimer(s))
-	s.send(r.from, message.Grant{Ask: r.offer.Ask, ID: r.offer.ID, Target: r.offer.Target, Valid: valid})
+	s.send(r.from, message.Grant{OfferSeq: r.offer.Seq, ID: r.offer.ID, Target: r.offer.Target, Valid: valid})
 }
 
 func (t *target) addRun(r *run) {
@@ -142,7 +142,7 @@
 	if r.lane == queue.Long {
 		t.longRuns++
 	}
-	if r.offer.Alone {
+	if r.offer.Isolated {
 		t.suspects++
 	}
 	if r.offer.PromptTokens > 0 && !r.started {
@@ -181,7 +181,7 @@
 	if r.lane == queue.Long {
 		t.longRuns--
 	}
-	if r.offer.Alone {
+	if r.offer.Isolated {
 		t.suspects--
 	}
 	t.timers.set(r, time.Time{})
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -191,7 +191,7 @@
 // Moved reports whether a refusal only announces that the target has another
 // scheduler now. The owner offers again to that scheduler, as if never refused.
 func Moved(r message.Refuse) bool {
-	return r.Reason == outcome.ReasonNone && r.Elsewhere == r.Target
+	return r.Reason == outcome.ReasonNone && r.Alternative == r.Target
 }
 
 func (s *Scheduler) addTarget(desc Target) {
--- a/internal/core/scheduler/script_test.go
+++ b/internal/core/scheduler/script_test.go
@@ -127,8 +127,8 @@
 		return s.Offer(c.now, owner(words), o)
 	case "running":
 		o := c.offer(words)
-		one := message.RunningOne{Offer: o, Started: has(words, "started")}
-		return s.Running(c.now, owner(words), message.Running{Full: has(words, "full"), Runs: []message.RunningOne{one}})
+		one := message.Run{Offer: o, Started: has(words, "started")}
+		return s.Running(c.now, owner(words), message.Running{Full: has(words, "full"), Runs: []message.Run{one}})
 	case "idle":
 		return s.Running(c.now, owner(words), message.Running{Full: true})
 	case "done":
@@ -158,14 +158,14 @@
 func (c *cluster) offer(words []string) message.Offer {
 	c.asks++
 	return message.Offer{
-		Ask: c.asks, ID: ident.RequestID(words[0]), Target: words[1],
+		Seq: c.asks, ID: ident.RequestID(words[0]), Target: words[1],
 		Organisation: value(words, "org", "x"),
 		Tier:         request.Tier(number(words, "tier", 0)),
 		PromptTokens: number(words, "prompt", 100),
 		MaxTokens:    10,
 		Idempotent:   !has(words, "once"),
 		Final:        has(words, "final"),
-		Alone:        has(words, "alone"),
+		Isolated:     has(words, "alone"),
 		Remaining:    duration(value(words, "for", "20s")),
 		FirstToken:   duration(value(words, "first", "0s")),
 	}
@@ -215,7 +215,7 @@
 			continue
 		}
 		switch m := e.Message.(type) {
-		case message.FloorAsk:
+		case message.FloorRequest:
 			c.floorAsks++
 			post(e.To, c.schedulers[e.To].FloorAsk(c.now, e.from, m))
 		case message.FloorReply:
@@ -236,11 +236,11 @@
 		return fmt.Sprintf("preempt %s", m.ID)
 	case message.Refuse:
 		text := fmt.Sprintf("refuse %s %s", m.ID, m.Reason)
-		if m.Settled {
+		if m.PoolWide {
 			text += " settled"
 		}
-		if m.Elsewhere != "" {
-			text += " try " + m.Elsewhere
+		if m.Alternative != "" {
+			text += " try " + m.Alternative
 		}
 		return text
 	}
--- a/internal/core/scheduler/shed.go
+++ b/internal/core/scheduler/shed.go
@@ -21,11 +21,11 @@
 // refuse answers an offer with a refusal and removes it.
 func (s *Scheduler) refuse(o *offer, why refusal) {
 	m := message.Refuse{
-		ID:        o.ID,
-		Target:    o.msg.Target,
-		Reason:    why.reason,
-		Settled:   why.settled,
-		Elsewhere: why.elsewhere,
+		ID:          o.ID,
+		Target:      o.msg.Target,
+		Reason:      why.reason,
+		PoolWide:    why.settled,
+		Alternative: why.elsewhere,
 	}
 	if why.settled {
 		m.RetryAfter = s.retryAfter(o.target, o.Tier)
@@ -60,20 +60,20 @@
 
 // FloorAsk answers another scheduler that has to refuse a tier: with a target
 // here that can accept the request, or with the promise to admit nothing lower.
-func (s *Scheduler) FloorAsk(now time.Time, from identity, a message.FloorAsk) []Effect {
+func (s *Scheduler) FloorAsk(now time.Time, from identity, a message.FloorRequest) []Effect {
 	s.advance(now)
 	reply := message.FloorReply{Seq: a.Seq, Pool: a.Pool, Tier: a.Tier}
 	if best, cost := s.findCapacity(a.Pool, a.Need, nil, capacityByPreemption); best != nil {
-		reply.Room = best.desc.Name
-		reply.Cost = cost
+		reply.FreeTarget = best.desc.Name
+		reply.PreemptionCost = cost
 		s.send(from, reply)
 		return s.takeEffects()
 	}
 	reply.Valid = s.floors.Promise(s.now, a.Pool, a.Tier, a.For)
-	if a.Last {
-		reply.Cutting, reply.Dear = s.preemptLower(a.Pool, a.Tier, maxPreemptionCost(a.Late, a.Need))
+	if a.Final {
+		reply.Preempting, reply.Spared = s.preemptLower(a.Pool, a.Tier, maxPreemptionCost(a.MissesFirstToken, a.Need))
 	}
-	reply.Lower = s.lowerWorkLeft(a.Pool, a.Tier)
+	reply.LowerRuns = s.lowerWorkLeft(a.Pool, a.Tier)
 	s.send(from, reply)
 	s.refuseBelowFloor(a.Pool)
 	return s.takeEffects()
--- a/internal/core/scheduler/slots_test.go
+++ b/internal/core/scheduler/slots_test.go
@@ -210,7 +210,7 @@
 		for i := range 20 {
 			words := []string{"x" + string(rune('a'+i)), "t", "final"}
 			refuse := c.schedulers["a"].Offer(c.now, "o1", c.offer(words))[0].Message.(message.Refuse)
-			Expect(refuse.Settled).To(BeTrue())
+			Expect(refuse.PoolWide).To(BeTrue())
 			Expect(refuse.RetryAfter).To(And(BeNumerically(">=", 50*time.Millisecond), BeNumerically("<=", 5*time.Second)))
 			seen[refuse.RetryAfter.Truncate(50*time.Millisecond)] = true
 		}
--- a/internal/core/suspects/suspects.go
+++ b/internal/core/suspects/suspects.go
@@ -72,7 +72,7 @@
 // both.
 type Effect struct {
 	Share  *message.Suspicion
-	Append *record.Verdict
+	Append *record.Quarantine
 }
 
 // Suspects holds suspected and quarantined requests. It is not safe for concurrent use.
@@ -184,7 +184,7 @@
 	if e == nil || e.quarantined || len(e.crashes) == 0 {
 		return nil
 	}
-	share := message.Suspicion{Fingerprint: fingerprint, Deaths: e.crashes, Cleared: true}
+	share := message.Suspicion{Fingerprint: fingerprint, Crashes: e.crashes, Cleared: true}
 	s.clearCrashes(e, e.crashes)
 	return []Effect{{Share: &share}}
 }
@@ -197,26 +197,26 @@
 	switch {
 	case m.Fingerprint == 0:
 		return nil
-	case m.Convicted:
-		s.quarantine(s.findOrAdd(now, m.Fingerprint), m.Deaths, now.Add(s.cfg.Quarantine))
+	case m.Quarantined:
+		s.quarantine(s.findOrAdd(now, m.Fingerprint), m.Crashes, now.Add(s.cfg.Quarantine))
 		return nil
 	case m.Cleared:
 		if e := s.findOrAdd(now, m.Fingerprint); e != nil && !e.quarantined {
-			s.clearCrashes(e, m.Deaths)
+			s.clearCrashes(e, m.Crashes)
 			s.extend(now, e)
 		}
 		return nil
 	}
-	effects := s.addCrashes(now, m.Fingerprint, m.Deaths, s.inBurst(now))
+	effects := s.addCrashes(now, m.Fingerprint, m.Crashes, s.inBurst(now))
 	return slices.DeleteFunc(effects, func(e Effect) bool { return e.Append == nil })
 }
 
 // FromLog applies a quarantine record of the given age that was read from the log.
-func (s *Suspects) FromLog(now time.Time, age time.Duration, v record.Verdict) {
+func (s *Suspects) FromLog(now time.Time, age time.Duration, v record.Quarantine) {
 	s.expire(now)
 	until := now.Add(s.cfg.Quarantine - age)
 	if v.Fingerprint != 0 && until.After(now) {
-		s.quarantine(s.findOrAdd(now, v.Fingerprint), v.Deaths, until)
+		s.quarantine(s.findOrAdd(now, v.Fingerprint), v.Crashes, until)
 	}
 }
 
@@ -261,13 +261,13 @@
 	if len(e.crashes) < quarantineThreshold {
 		return []Effect{{Share: &message.Suspicion{
 			Fingerprint: fingerprint,
-			Deaths:      slices.Clone(e.crashes),
+			Crashes:     slices.Clone(e.crashes),
 		}}}
 	}
 	s.quarantine(e, nil, now.Add(s.cfg.Quarantine))
 	return []Effect{{
-		Share:  &message.Suspicion{Fingerprint: fingerprint, Deaths: slices.Clone(e.crashes), Convicted: true},
-		Append: &record.Verdict{Fingerprint: fingerprint, Deaths: slices.Clone(e.crashes)},
+		Share:  &message.Suspicion{Fingerprint: fingerprint, Crashes: slices.Clone(e.crashes), Quarantined: true},
+		Append: &record.Quarantine{Fingerprint: fingerprint, Crashes: slices.Clone(e.crashes)},
 	}}
 }
 
--- a/internal/core/suspects/suspects_test.go
+++ b/internal/core/suspects/suspects_test.go
@@ -33,8 +33,8 @@
 		Expect(cleared[0].Share.Cleared).To(BeTrue())
 		effects := s.Crash(at(5*time.Second), "t2", "1", running(crashing, 9))
 		Expect(effects).To(HaveLen(2))
-		Expect(effects[0].Append).To(Equal(&record.Verdict{Fingerprint: crashing, Deaths: []string{"t1/1", "t2/1"}}))
-		Expect(effects[0].Share.Convicted).To(BeTrue())
+		Expect(effects[0].Append).To(Equal(&record.Quarantine{Fingerprint: crashing, Crashes: []string{"t1/1", "t2/1"}}))
+		Expect(effects[0].Share.Quarantined).To(BeTrue())
 		Expect(s.Check(at(6*time.Second), crashing)).To(Equal(suspects.Quarantined))
 		Expect(s.Check(at(6*time.Second), other)).To(Equal(suspects.Clean))
 		Expect(s.Check(at(6*time.Second), 9)).To(Equal(suspects.Suspect))
@@ -49,7 +49,7 @@
 		s := suspects.New(suspects.Config{})
 		s.Crash(start, "t1", "1", running(crashing))
 		Expect(s.Crash(at(9*time.Second), "t1", "1", running(crashing))).To(BeEmpty())
-		Expect(s.Merge(at(9*time.Second), message.Suspicion{Fingerprint: crashing, Deaths: []string{"t1/1"}})).To(BeEmpty())
+		Expect(s.Merge(at(9*time.Second), message.Suspicion{Fingerprint: crashing, Crashes: []string{"t1/1"}})).To(BeEmpty())
 		Expect(s.Check(at(9*time.Second), crashing)).To(Equal(suspects.Suspect))
 	})
 
@@ -108,8 +108,8 @@
 	// rest of its time, not for the full time since the restart.
 	It("restores the rest of a quarantine from the log", func() {
 		s := suspects.New(suspects.Config{Quarantine: time.Hour})
-		s.FromLog(start, 59*time.Minute, record.Verdict{Fingerprint: crashing})
-		s.FromLog(start, 2*time.Hour, record.Verdict{Fingerprint: other})
+		s.FromLog(start, 59*time.Minute, record.Quarantine{Fingerprint: crashing})
+		s.FromLog(start, 2*time.Hour, record.Quarantine{Fingerprint: other})
 		Expect(s.Check(start, crashing)).To(Equal(suspects.Quarantined))
 		Expect(s.Check(start, other)).To(Equal(suspects.Clean))
 		Expect(s.Check(at(time.Minute), crashing)).To(Equal(suspects.Clean))
@@ -117,7 +117,7 @@
 
 	It("bounds its memory and never evicts a quarantined request", func() {
 		s := suspects.New(suspects.Config{Max: 3})
-		s.FromLog(start, 0, record.Verdict{Fingerprint: crashing})
+		s.FromLog(start, 0, record.Quarantine{Fingerprint: crashing})
 		for fp := request.Fingerprint(10); fp < 100; fp++ {
 			s.Crash(at(time.Duration(fp)*2*time.Second), "t", string(rune(fp)), running(fp))
 			Expect(s.Len()).To(BeNumerically("<=", 3))
@@ -126,9 +126,9 @@
 		Expect(s.Check(now, crashing)).To(Equal(suspects.Quarantined))
 		Expect(s.Check(now, 99)).To(Equal(suspects.Suspect))
 		Expect(s.Check(now, 97)).To(Equal(suspects.Clean))
-		s.FromLog(now, 0, record.Verdict{Fingerprint: 98})
-		s.FromLog(now, 0, record.Verdict{Fingerprint: 99})
-		s.FromLog(now, 0, record.Verdict{Fingerprint: other})
+		s.FromLog(now, 0, record.Quarantine{Fingerprint: 98})
+		s.FromLog(now, 0, record.Quarantine{Fingerprint: 99})
+		s.FromLog(now, 0, record.Quarantine{Fingerprint: other})
 		Expect(s.Dropped()).To(Equal(1))
 		Expect(s.QuarantinedFingerprints(now)).To(Equal(running(crashing, 98, 99)))
 	})
--- a/internal/duty/loop_test.go
+++ b/internal/duty/loop_test.go
@@ -63,7 +63,7 @@
 	It("carries out each output once, in order", func() {
 		outputs := []entry.Output{
 			entry.Dispatch{ID: "1"}, entry.CancelRun{ID: "2"}, entry.Settle{ID: "3"}, entry.Join{ID: "4"},
-			entry.Attach{ID: "5"}, entry.Send{To: "6", Message: message.DocumentAsk{}}, entry.Append{Tag: 7},
+			entry.Attach{ID: "5"}, entry.Send{To: "6", Message: message.DocumentRequest{}}, entry.Append{Tag: 7},
 			entry.Follow{Stream: "8"}, entry.Unfollow{Stream: "9"}, entry.Order{Target: "10"},
 			entry.Publish{View: &entry.View{}}, entry.Decision{ID: "12"}, entry.SeeOther{ID: "13"},
 		}
--- a/internal/peers/bench_test.go
+++ b/internal/peers/bench_test.go
@@ -15,7 +15,7 @@
 
 func benchOffer() message.Offer {
 	return message.Offer{
-		Ask: 123456, ID: "0a1b2c3d4e5f6071-6b106aaa.1f.0a1b2c3d4e5f60718293a4b5", Target: "engine-0123",
+		Seq: 123456, ID: "0a1b2c3d4e5f6071-6b106aaa.1f.0a1b2c3d4e5f60718293a4b5", Target: "engine-0123",
 		Organisation: "org-01234", Tier: 1, PromptTokens: 800, MaxTokens: 256, Idempotent: true,
 		Fingerprint: 1 << 60, Remaining: 30 * time.Second, FirstToken: 850 * time.Millisecond,
 	}
@@ -27,9 +27,9 @@
 	o := benchOffer()
 	return []message.Message{
 		o,
-		message.Grant{Ask: o.Ask, ID: o.ID, Target: o.Target, Valid: 400 * time.Millisecond},
-		message.Running{Runs: []message.RunningOne{{Offer: o}}},
-		message.Running{Runs: []message.RunningOne{{Offer: o, Tokens: 1, Started: true, Age: 300 * time.Millisecond}}},
+		message.Grant{OfferSeq: o.Seq, ID: o.ID, Target: o.Target, Valid: 400 * time.Millisecond},
+		message.Running{Runs: []message.Run{{Offer: o}}},
+		message.Running{Runs: []message.Run{{Offer: o, Tokens: 1, Started: true, Age: 300 * time.Millisecond}}},
 		message.Done{ID: o.ID, Target: o.Target, Sample: message.Sample{
 			PromptTokens: 800, FirstToken: 300 * time.Millisecond, Tokens: 225, StepTime: 28 * time.Millisecond, Batch: 20,
 		}},
--- a/internal/peers/kind.go
+++ b/internal/peers/kind.go
@@ -52,15 +52,15 @@
 	KindPreempt:         {"preempt", decodeList[message.Preempt]},
 	KindDone:            {"done", decodeList[message.Done]},
 	KindRunning:         {"running", decodeList[message.Running]},
-	KindFloorRequest:    {"floor_ask", decodeList[message.FloorAsk]},
+	KindFloorRequest:    {"floor_ask", decodeList[message.FloorRequest]},
 	KindFloorReply:      {"floor_reply", decodeList[message.FloorReply]},
-	KindOwnerRequest:    {"owner_ask", decodeList[message.OwnerAsk]},
+	KindOwnerRequest:    {"owner_ask", decodeList[message.OwnerRequest]},
 	KindOwnerReply:      {"owner_reply", decodeList[message.OwnerReply]},
-	KindClaimRequest:    {"claim_ask", decodeList[message.ClaimAsk]},
+	KindClaimRequest:    {"claim_ask", decodeList[message.ClaimRequest]},
 	KindClaimReply:      {"claim_reply", decodeList[message.ClaimReply]},
 	KindClaimRelease:    {"claim_release", decodeList[message.ClaimRelease]},
 	KindSuspicion:       {"suspicion", decodeList[message.Suspicion]},
-	KindDocumentRequest: {"document_ask", decodeList[message.DocumentAsk]},
+	KindDocumentRequest: {"document_ask", decodeList[message.DocumentRequest]},
 	KindDocumentReply:   {"document_reply", decodeList[message.DocumentReply]},
 }
 
@@ -100,15 +100,15 @@
 		return KindDone
 	case message.Running:
 		return KindRunning
-	case message.FloorAsk:
+	case message.FloorRequest:
 		return KindFloorRequest
 	case message.FloorReply:
 		return KindFloorReply
-	case message.OwnerAsk:
+	case message.OwnerRequest:
 		return KindOwnerRequest
 	case message.OwnerReply:
 		return KindOwnerReply
-	case message.ClaimAsk:
+	case message.ClaimRequest:
 		return KindClaimRequest
 	case message.ClaimReply:
 		return KindClaimReply
@@ -116,7 +116,7 @@
 		return KindClaimRelease
 	case message.Suspicion:
 		return KindSuspicion
-	case message.DocumentAsk:
+	case message.DocumentRequest:
 		return KindDocumentRequest
 	case message.DocumentReply:
 		return KindDocumentReply
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -113,7 +113,7 @@
 			b.Send("1", m)
 			want = append(want, entry.FromPeer{From: "1", Message: m})
 		}
-		a.Send("nobody", message.DocumentAsk{})
+		a.Send("nobody", message.DocumentRequest{})
 		Eventually(b.delivered).Should(Equal(append([]entry.Input{b.up(a)}, want...)))
 		Eventually(a.delivered).Should(HaveLen(1 + len(want)))
 		Eventually(func() int64 { return a.Stats().ReceivedBytes }).Should(Equal(b.Stats().SentBytes))
--- a/internal/peers/packet_test.go
+++ b/internal/peers/packet_test.go
@@ -15,9 +15,9 @@
 func oneOfEachType() []message.Message {
 	types := []message.Message{
 		message.Heartbeat{}, message.Offer{}, message.Withdraw{}, message.Grant{}, message.Queued{},
-		message.Refuse{}, message.Preempt{}, message.Done{}, message.Running{}, message.FloorAsk{},
-		message.FloorReply{}, message.OwnerAsk{}, message.OwnerReply{}, message.ClaimAsk{}, message.ClaimReply{},
-		message.ClaimRelease{}, message.Suspicion{}, message.DocumentAsk{}, message.DocumentReply{},
+		message.Refuse{}, message.Preempt{}, message.Done{}, message.Running{}, message.FloorRequest{},
+		message.FloorReply{}, message.OwnerRequest{}, message.OwnerReply{}, message.ClaimRequest{}, message.ClaimReply{},
+		message.ClaimRelease{}, message.Suspicion{}, message.DocumentRequest{}, message.DocumentReply{},
 	}
 	seed := int64(0)
 	var filled []message.Message
@@ -81,7 +81,7 @@
 	},
 		Entry("not a map", "text"),
 		Entry("refers to a missing message", wirePacket{Order: []byte{byte(KindGrant)}}),
-		Entry("has a message that is missing from the order", wirePacket{Lists: lists(KindDocumentRequest, []message.DocumentAsk{{}})}),
+		Entry("has a message that is missing from the order", wirePacket{Lists: lists(KindDocumentRequest, []message.DocumentRequest{{}})}),
 		Entry("unknown message type", wirePacket{Order: []byte{200}, Lists: lists(200, []int{1})}),
 		Entry("list of another type", wirePacket{Order: []byte{byte(KindGrant)}, Lists: lists(KindGrant, []string{"x"})}),
 		Entry("more messages than a batch", wirePacket{Order: make([]byte, MaxBatch+1)}),
--- a/internal/peers/queue_test.go
+++ b/internal/peers/queue_test.go
@@ -22,15 +22,15 @@
 	// heartbeats again, so the oldest of them are dropped and counted. The grant behind
 	// them must stay: a lost grant would leave a slot reserved and idle.
 	It("drops the oldest offers and heartbeats when it is full", func() {
-		Expect(q.push(message.Grant{Ask: 1})).To(BeTrue())
-		Expect(q.push(message.Offer{Ask: 2})).To(BeTrue())
+		Expect(q.push(message.Grant{OfferSeq: 1})).To(BeTrue())
+		Expect(q.push(message.Offer{Seq: 2})).To(BeTrue())
 		Expect(q.push(message.Heartbeat{Seq: 3})).To(BeTrue())
-		Expect(q.push(message.Grant{Ask: 4})).To(BeTrue())
-		Expect(q.push(message.Grant{Ask: 5})).To(BeTrue())
+		Expect(q.push(message.Grant{OfferSeq: 4})).To(BeTrue())
+		Expect(q.push(message.Grant{OfferSeq: 5})).To(BeTrue())
 		Expect(dropped[KindOffer].messages).To(Equal(1))
 		Expect(dropped[KindHeartbeat].messages).To(Equal(0))
 		Expect(q.nextBatch()).To(Equal([]message.Message{
-			message.Grant{Ask: 1}, message.Heartbeat{Seq: 3}, message.Grant{Ask: 4}, message.Grant{Ask: 5},
+			message.Grant{OfferSeq: 1}, message.Heartbeat{Seq: 3}, message.Grant{OfferSeq: 4}, message.Grant{OfferSeq: 5},
 		}))
 	})
 
@@ -52,11 +52,11 @@
 	It("returns batches of bounded size, oldest first", func() {
 		q = newQueue(2*MaxBatch, nil)
 		for i := range MaxBatch + 1 {
-			Expect(q.push(message.Grant{Ask: uint64(i)})).To(BeTrue())
+			Expect(q.push(message.Grant{OfferSeq: uint64(i)})).To(BeTrue())
 		}
 		first, second := q.nextBatch(), q.nextBatch()
 		Expect(first).To(HaveLen(MaxBatch))
-		Expect(second).To(Equal([]message.Message{message.Grant{Ask: MaxBatch}}))
+		Expect(second).To(Equal([]message.Message{message.Grant{OfferSeq: MaxBatch}}))
 		Expect(q.nextBatch()).To(BeNil())
 	})
 
--- a/internal/peers/tls_test.go
+++ b/internal/peers/tls_test.go
@@ -112,8 +112,8 @@
 		b := startNode("2", listenAt(loopback+":0"), withTLS(ca.issue(loopback, ca), a.address))
 		Eventually(a.delivered).Should(HaveLen(1))
 		Eventually(b.delivered).Should(HaveLen(1))
-		a.Send("2", message.DocumentAsk{})
-		Eventually(b.delivered).Should(ContainElement(entry.FromPeer{From: "1", Message: message.DocumentAsk{}}))
+		a.Send("2", message.DocumentRequest{})
+		Eventually(b.delivered).Should(ContainElement(entry.FromPeer{From: "1", Message: message.DocumentRequest{}}))
 	})
 
 	// Certificates are replaced entry by entry. While some entries have a certificate of
--- a/internal/replay/capacity/core_bench_test.go
+++ b/internal/replay/capacity/core_bench_test.go
@@ -96,7 +96,7 @@
 		w.b.Fatal(err)
 	}
 	w.step(entry.LogRecord{Stream: record.StreamDocuments, Offset: w.version, Data: data})
-	for _, stream := range []record.Stream{record.StreamDocuments, record.StreamOrders, record.StreamVerdicts} {
+	for _, stream := range []record.Stream{record.StreamDocuments, record.StreamOrders, record.StreamQuarantines} {
 		w.step(entry.LogCaughtUp{Stream: stream, Offset: w.version + 1, Since: w.now})
 	}
 }
@@ -306,7 +306,7 @@
 			case entry.Send:
 				if offer, is := o.Message.(message.Offer); is {
 					next = entry.FromPeer{From: o.To, Message: message.Grant{
-						Ask: offer.Ask, ID: offer.ID, Target: offer.Target, Valid: 400 * time.Millisecond,
+						OfferSeq: offer.Seq, ID: offer.ID, Target: offer.Target, Valid: 400 * time.Millisecond,
 					}}
 				}
 			case entry.Dispatch:
--- a/internal/replay/capacity/scheduler_bench_test.go
+++ b/internal/replay/capacity/scheduler_bench_test.go
@@ -26,7 +26,7 @@
 func (w *world) offerTo(target string, i int, tier request.Tier) message.Offer {
 	peer := w.peers[i%len(w.peers)].member.Incarnation
 	return message.Offer{
-		Ask: uint64(i + 1), ID: ident.RequestID(fmt.Sprintf("%s.1.%024d", peer, i)), Target: target,
+		Seq: uint64(i + 1), ID: ident.RequestID(fmt.Sprintf("%s.1.%024d", peer, i)), Target: target,
 		Organisation: OrganisationName(i % len(w.doc.Organisations)), Tier: tier, Kind: request.Engine,
 		PromptTokens: 400, MaxTokens: 225, Idempotent: true, Fingerprint: request.Fingerprint(i),
 		Remaining: 60 * time.Second,
@@ -60,8 +60,8 @@
 				from := w.peers[i%len(w.peers)].member.Incarnation
 				w.step(entry.FromPeer{From: from, Message: o})
 				granted += sentOf[message.Grant](w)
-				w.step(entry.FromPeer{From: from, Message: message.Running{Runs: []message.RunningOne{{Offer: o}}}})
-				w.step(entry.FromPeer{From: from, Message: message.Running{Runs: []message.RunningOne{
+				w.step(entry.FromPeer{From: from, Message: message.Running{Runs: []message.Run{{Offer: o}}}})
+				w.step(entry.FromPeer{From: from, Message: message.Running{Runs: []message.Run{
 					{Offer: o, Tokens: 1, Started: true, Age: 200 * time.Millisecond},
 				}}})
 				w.step(entry.FromPeer{From: from, Message: message.Done{ID: o.ID, Target: target, Sample: message.Sample{
@@ -131,7 +131,7 @@
 				var asked []ask
 				for _, out := range w.out {
 					if s, is := out.(entry.Send); is {
-						if f, is := s.Message.(message.FloorAsk); is {
+						if f, is := s.Message.(message.FloorRequest); is {
 							asked = append(asked, ask{s.To, f.Seq})
 						}
 					}
@@ -163,7 +163,7 @@
 			replies, i := 0, 0
 			for b.Loop() {
 				from := w.peers[i%len(w.peers)].member.Incarnation
-				w.step(entry.FromPeer{From: from, Message: message.FloorAsk{
+				w.step(entry.FromPeer{From: from, Message: message.FloorRequest{
 					Seq: uint64(i + 1), Pool: pool, Tier: 0, For: time.Second, Need: w.offerTo("elsewhere", i, 0),
 				}})
 				replies += sentOf[message.FloorReply](w)
--- a/internal/replay/virtual/target.go
+++ b/internal/replay/virtual/target.go
@@ -150,7 +150,7 @@
 		// This is a second dispatch while the first one runs; the ledger records it.
 		run.Ended = run.Began
 		t.ledger = append(t.ledger, run)
-		t.reply(s, func() { s.end(message.ResultBroken, true) })
+		t.reply(s, func() { s.end(message.ResultAborted, true) })
 		return
 	}
 	result, admitted := t.admit(r)
@@ -325,7 +325,7 @@
 	// The ledger is in the order of the runs, which the map is not.
 	for _, run := range t.ledger {
 		if h := t.held[run.ID]; h != nil && h.run == run && !h.ended {
-			t.finish(h, message.ResultBroken)
+			t.finish(h, message.ResultAborted)
 		}
 	}
 	t.held = map[string]*held{}
--- a/internal/replay/virtual/virtual_test.go
+++ b/internal/replay/virtual/virtual_test.go
@@ -119,7 +119,7 @@
 	case message.ResultNotAdmitted, message.ResultLeaving:
 		d.turn++
 		d.dispatch(d.known[i.ID], d.turn)
-	case message.ResultBroken, message.ResultCancelled:
+	case message.ResultAborted, message.ResultCancelled:
 		d.out = append(d.out, entry.Settle{ID: i.ID, Status: outcome.Partial(outcome.ReasonTargetFailed, "")})
 	}
 }
--- a/internal/targets/control.go
+++ b/internal/targets/control.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if r.t.control.Go(r.cancelAtEngine) != nil {
-		r.end(message.ResultBroken, true)
+		r.end(message.ResultAborted, true)
 	}
 }
 
@@ -47,7 +47,7 @@
 			break
 		}
 	}
-	r.end(message.ResultBroken, true)
+	r.end(message.ResultAborted, true)
 }
 
 // call makes one control call to a target and returns its answer.
--- a/internal/targets/run.go
+++ b/internal/targets/run.go
@@ -157,7 +157,7 @@
 		return message.ResultNotAdmitted, false
 	}
 	if r.kind == request.Service {
-		return message.ResultBroken, true
+		return message.ResultAborted, true
 	}
 	// The engine may have received the request, so it is not sent again. But its stream
 	// can be requested: if the engine holds it, the caller still gets the answer.
@@ -176,7 +176,7 @@
 		r.cancel()
 		return message.ResultCancelled
 	}
-	return message.ResultBroken
+	return message.ResultAborted
 }
 
 // prepare fills in the request to the target.
--- a/internal/targets/stream.go
+++ b/internal/targets/stream.go
@@ -240,7 +240,7 @@
 	err := r.resume(errBroken)
 	status, result := outcome.Complete(), message.ResultComplete
 	if err != nil {
-		status, result = r.lostStatus(err), message.ResultBroken
+		status, result = r.lostStatus(err), message.ResultAborted
 	}
 	r.f.Finish(status)
 	r.onEnd(result)
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -196,7 +196,7 @@
 		return true
 	}
 	f.Finish(outcome.Undetermined(outcome.ReasonEntryFull, "this entry follows too many streams"))
-	ended(message.ResultBroken)
+	ended(message.ResultAborted)
 	return false
 }
 
