--- a/cmd/sycamore-entry/gauges.go
+++ b/cmd/sycamore-entry/gauges.go
@@ -44,8 +44,8 @@
 	m.Set(telemetry.Ready, boolGauge(view.State == message.Ready))
 	m.Set(telemetry.EntriesKnown, float64(len(view.Entries)))
 	if p.recording != nil {
-		m.Total(telemetry.TraceLines, p.recording.Written())
-		m.Total(telemetry.TraceDropped, p.recording.Dropped())
+		m.SetTotal(telemetry.TraceLines, p.recording.Written())
+		m.SetTotal(telemetry.TraceDropped, p.recording.Dropped())
 	}
 	p.reportUsage()
 	p.reportLinks()
@@ -71,18 +71,18 @@
 func (p *process) reportLinks() {
 	m, stats := p.metrics, p.links.Stats()
 	m.Set(telemetry.PeerLinks, float64(stats.Links))
-	m.Total(telemetry.PeerSentBytes, stats.SentBytes)
-	m.Total(telemetry.PeerReceivedBytes, stats.ReceivedBytes)
-	m.Total(telemetry.PeerSentFrames, stats.FramesSent)
-	m.Total(telemetry.PeerReceivedFrames, stats.FramesReceived)
-	m.Total(telemetry.PeerNoLink, stats.NoLink)
+	m.SetTotal(telemetry.PeerSentBytes, stats.SentBytes)
+	m.SetTotal(telemetry.PeerReceivedBytes, stats.ReceivedBytes)
+	m.SetTotal(telemetry.PeerSentFrames, stats.FramesSent)
+	m.SetTotal(telemetry.PeerReceivedFrames, stats.FramesReceived)
+	m.SetTotal(telemetry.PeerNoLink, stats.NoLink)
 	for _, kind := range stats.Kinds {
 		name := kind.Kind.String()
-		m.Total(telemetry.PeerSent, kind.Sent, name)
-		m.Total(telemetry.PeerSentMessageBytes, kind.SentBytes, name)
-		m.Total(telemetry.PeerReceived, kind.Received, name)
-		m.Total(telemetry.PeerReceivedMsgBytes, kind.RBytes, name)
-		m.Total(telemetry.PeerDropped, kind.Dropped, name)
+		m.SetTotal(telemetry.PeerSent, kind.Sent, name)
+		m.SetTotal(telemetry.PeerSentMessageBytes, kind.SentBytes, name)
+		m.SetTotal(telemetry.PeerReceived, kind.Received, name)
+		m.SetTotal(telemetry.PeerReceivedMsgBytes, kind.ReceivedBytes, name)
+		m.SetTotal(telemetry.PeerDropped, kind.Dropped, name)
 	}
 }
 
@@ -106,7 +106,7 @@
 			unlinked++
 		}
 	}
-	m.Set(telemetry.PeersSilent, float64(unlinked))
+	m.Set(telemetry.PeersNotLinked, float64(unlinked))
 	p.reportPools(targets, floors)
 }
 
--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -35,7 +35,7 @@
 	for _, p := range s.Peers {
 		status.Peers = append(status.Peers, operators.Peer{
 			Member: memberOf(p.Member), State: p.State.String(), Version: p.ConfigVersion,
-			InFlight: p.InFlight, Linked: p.Linked, SilentMS: p.SinceContact.Milliseconds(),
+			InFlight: p.InFlight, Linked: p.Linked, SinceHeartbeatMS: p.SinceContact.Milliseconds(),
 		})
 	}
 	return status, nil
@@ -64,7 +64,7 @@
 func targetOf(s entry.TargetStatus) operators.Target {
 	t := operators.Target{
 		Name: s.Name, Pool: s.Pool, Class: s.Class, Zone: s.Zone,
-		Scheduler: s.SchedulerName, Here: s.Here, Leaving: s.Leaving,
+		Scheduler: s.SchedulerName, ScheduledHere: s.Here, Leaving: s.Leaving,
 	}
 	if s.HasDigest {
 		t.Available = s.Digest.Available
@@ -102,7 +102,7 @@
 	if err := i.loop.Do(ctx, func(e *entry.Entry) { x = e.Explain(ident.RequestID(id)) }); err != nil {
 		return operators.Explanation{}, err
 	}
-	answer := operators.Explanation{ID: id, Known: x.Known, Owner: string(x.Owner), Standing: x.Standing.String()}
+	answer := operators.Explanation{ID: id, Known: x.Known, Owner: string(x.Owner), State: x.Standing.String()}
 	for _, n := range x.Decisions {
 		answer.Decisions = append(answer.Decisions, operators.Decision{
 			AgeMS: time.Since(n.At).Milliseconds(), Event: string(n.Event), Target: n.Target,
@@ -125,8 +125,8 @@
 	return operators.Document{Version: view.Version, ID: view.Document.ID, Data: json.RawMessage(data)}, nil
 }
 
-// Verdict returns the result of a published document at this entry.
-func (i *inspector) Verdict(ctx context.Context, documentID string) (operators.Published, error) {
+// PublishResult returns the result of a published document at this entry.
+func (i *inspector) PublishResult(ctx context.Context, documentID string) (operators.Published, error) {
 	var result acceptance.Result
 	var known bool
 	read := func(e *entry.Entry) { result, known = e.DocumentResult(documentID) }
@@ -141,7 +141,7 @@
 	case acceptance.Accepted, acceptance.Duplicate:
 		published.Result = operators.ResultAccepted
 	case acceptance.Conflict:
-		published.Result = operators.ResultBeaten
+		published.Result = operators.ResultSuperseded
 	case acceptance.Invalid:
 		published.Result = operators.ResultInvalid
 	}
--- a/cmd/sycamore-entry/process.go
+++ b/cmd/sycamore-entry/process.go
@@ -141,7 +141,7 @@
 			addresses = append(addresses, instance.Address)
 		}
 	}
-	p.links.Listed(addresses)
+	p.links.SetListed(addresses)
 	p.loop.Submit(list)
 }
 
--- a/internal/console/publish.go
+++ b/internal/console/publish.go
@@ -69,7 +69,7 @@
 	switch published.Result {
 	case api.ResultAccepted:
 		c.accepted(v, x.draft.id(), published.Version)
-	case api.ResultBeaten:
+	case api.ResultSuperseded:
 		c.showSuperseded(v, x, published)
 	case api.ResultInvalid:
 		x.faults = documentFaults(published.Faults)
--- a/internal/core/entry/running.go
+++ b/internal/core/entry/running.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if result == message.ResultLeaving {
-		e.router.Reachable(f.target, false)
+		e.router.SetAvailable(f.target, false)
 	}
 	f.tried = append(f.tried, f.target)
 	e.place(f)
--- a/internal/core/entry/targets.go
+++ b/internal/core/entry/targets.go
@@ -85,7 +85,7 @@
 // other sources report.
 func (e *Entry) updateAvailability(target string) {
 	available := e.availabilityOf(target).available() && !e.declaredLeaving(target) || !e.enabled(guardLeaving)
-	e.router.Reachable(target, available)
+	e.router.SetAvailable(target, available)
 	e.perform(e.scheduler.SetAvailable(e.now, target, available), fromScheduler)
 	e.perform(e.shareScheduler.SetAvailable(e.now, target, available), fromShare)
 }
--- a/internal/core/routing/affinity_test.go
+++ b/internal/core/routing/affinity_test.go
@@ -91,8 +91,8 @@
 
 	It("assumes an empty cache after a target was unreachable", func() {
 		r.Dispatched(start, "t41", prefixed(newRequest(12800, 20), 1, 90))
-		r.Reachable("t41", false)
-		r.Reachable("t41", true)
+		r.SetAvailable("t41", false)
+		r.SetAvailable("t41", true)
 		Expect(r.prefixes.find(prefixed(newRequest(12800, 20), 1, 90), nil)).To(BeEmpty())
 	})
 
--- a/internal/core/routing/feasible_test.go
+++ b/internal/core/routing/feasible_test.go
@@ -22,7 +22,7 @@
 				Expect(status).To(Equal(Chosen))
 				Expect(name).To(Equal("t0"))
 			}
-			r.Reachable("t0", false)
+			r.SetAvailable("t0", false)
 			_, status := r.Choose(start, longPrompt, nil)
 			Expect(status).To(Equal(NoneInTime))
 		}
--- a/internal/core/routing/router.go
+++ b/internal/core/routing/router.go
@@ -119,10 +119,10 @@
 	}
 }
 
-// Reachable applies the result of a probe: ok is false if the target is unreachable or
+// SetAvailable applies the result of a probe: ok is false if the target is unreachable or
 // announces its departure. The cache of a target that becomes reachable again is
 // assumed to be empty.
-func (r *Router) Reachable(name string, ok bool) {
+func (r *Router) SetAvailable(name string, ok bool) {
 	t := r.targets[name]
 	if t == nil {
 		return
--- a/internal/core/routing/router_test.go
+++ b/internal/core/routing/router_test.go
@@ -28,7 +28,7 @@
 		Expect(status(nil)).To(Equal(EmptyPool), "an engine request and a service")
 		req.Pool = "chat"
 		for i := range 3 {
-			r.Reachable(targetName(i), false)
+			r.SetAvailable(targetName(i), false)
 		}
 		Expect(status(excludeAll)).To(Equal(NoneAvailable))
 		Expect(NoneAvailable.Reason()).To(Equal(outcome.ReasonNoTarget))
@@ -50,7 +50,7 @@
 		Expect(r.LastCandidate(start, newRequest(9, 9), nil)).To(BeFalse())
 		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeFalse())
 		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t2"))).To(BeTrue())
-		r.Reachable("t1", false)
+		r.SetAvailable("t1", false)
 		Expect(r.LastCandidate(start, newRequest(9, 9), allBut("t1", "t2"))).To(BeTrue())
 	})
 
@@ -108,7 +108,7 @@
 			Expect(name).To(Equal("t1"))
 			Expect(status).To(Equal(Chosen))
 		}
-		r.Reachable("t1", false)
+		r.SetAvailable("t1", false)
 		name, _ := r.TwoChoices(start, newRequest(9, 9), nil)
 		Expect(name).To(Equal("t0"))
 		_, status := r.TwoChoices(start, newRequest(9, 9), func(string) bool { return true })
@@ -128,7 +128,7 @@
 			Expect(first(r.Choose(start, newRequest(9, 9), nil))).To(Equal("t1"))
 		}
 		r.Digest(start, digest("t0", 0, 16))
-		r.Reachable("t0", false)
+		r.SetAvailable("t0", false)
 		for range 50 {
 			Expect(first(r.Choose(start, newRequest(9, 9), nil))).To(Equal("t1"))
 		}
--- a/internal/ctl/commands_test.go
+++ b/internal/ctl/commands_test.go
@@ -81,8 +81,8 @@
 		owner := fake.Entry(2)
 		id := owner.Incarnation + suffix
 		// The first entry has another record of the id, which must not be shown.
-		fake.Entry(0).Remember(api.Explanation{ID: id, Known: true, Standing: "wrong entry"})
-		owner.Remember(api.Explanation{ID: id, Known: true, Owner: owner.Name, Standing: "refused", Decisions: []api.Decision{{AgeMS: 1500, Event: "refused", Target: "engine-0", Reason: "overload"}}})
+		fake.Entry(0).Remember(api.Explanation{ID: id, Known: true, State: "wrong entry"})
+		owner.Remember(api.Explanation{ID: id, Known: true, Owner: owner.Name, State: "refused", Decisions: []api.Decision{{AgeMS: 1500, Event: "refused", Target: "engine-0", Reason: "overload"}}})
 		got := run("explain", id, "--settings", settingsFor(fake.Addresses()...))
 		Expect(got.code).To(Equal(0), got.err)
 		Expect(got.out).To(MatchRegexp(`owner entry-3, standing: refused`))
@@ -94,7 +94,7 @@
 	It("queries all entries if the owner has departed", func() {
 		fake := startFake(2)
 		id := "ffffffffffffffff-9" + suffix
-		fake.Entry(1).Remember(api.Explanation{ID: id, Known: true, Standing: "unknown"})
+		fake.Entry(1).Remember(api.Explanation{ID: id, Known: true, State: "unknown"})
 		Expect(run("explain", id, "--settings", settingsFor(fake.Addresses()...)).code).To(Equal(0))
 	})
 
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -92,7 +92,7 @@
 		fmt.Fprintf(w, "%s: no listed entry knows of it. Its owner, %s, was replaced, is not listed in the settings, or has forgotten it.\n", found.ID, orDash(found.Owner))
 		return
 	}
-	fmt.Fprintf(w, "%s\nowner %s, standing: %s\n", found.ID, orDash(found.Owner), orDash(found.Standing))
+	fmt.Fprintf(w, "%s\nowner %s, standing: %s\n", found.ID, orDash(found.Owner), orDash(found.State))
 	writeReason(w, found.Decisions)
 	fmt.Fprintln(w)
 	rows := make([][]string, len(found.Decisions))
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -140,7 +140,7 @@
 var publishExitCodes = map[api.Result]int{
 	api.ResultAccepted:     exitDone,
 	api.ResultInvalid:      exitFault,
-	api.ResultBeaten:       exitRefused,
+	api.ResultSuperseded:   exitRefused,
 	api.ResultNotPublished: exitRefused,
 	api.ResultUnknown:      exitUnknown,
 }
@@ -150,7 +150,7 @@
 		return a.printFaults(path, published.Faults)
 	}
 	result := publishResult{Published: published, Base: doc.Base}
-	if published.Result == api.ResultBeaten {
+	if published.Result == api.ResultSuperseded {
 		result.Difference = differenceInForce(client, doc)
 	}
 	if err := a.print(result, func(w io.Writer) { writePublishResult(w, result) }); err != nil {
@@ -190,7 +190,7 @@
 	switch result.Result {
 	case api.ResultAccepted:
 		fmt.Fprintf(w, "accepted: %s is in force as version %d\n", result.ID, result.Version)
-	case api.ResultBeaten:
+	case api.ResultSuperseded:
 		fmt.Fprintf(w, "beaten: %s came first as version %d; %s is not in force and will not be\n", orDash(result.Winner), result.WinnerVersion, result.ID)
 		if len(result.Difference) > 0 {
 			fmt.Fprintln(w, "\nwhat your document would change in the one in force:")
--- a/internal/ctl/targets.go
+++ b/internal/ctl/targets.go
@@ -57,7 +57,7 @@
 
 func targetCells(t *api.Target) []string {
 	scheduler := orDash(t.Scheduler)
-	if t.Here {
+	if t.ScheduledHere {
 		scheduler += " (asked)"
 	}
 	queue := make([]string, len(t.QueuedByTier))
@@ -110,7 +110,7 @@
 	}
 	rows := make([][]string, len(floors))
 	for i, floor := range floors {
-		rows[i] = []string{floor.Pool, strconv.Itoa(int(floor.Tier)), strconv.FormatInt(floor.RemainingMS, 10), orDash(floor.AskedBy)}
+		rows[i] = []string{floor.Pool, strconv.Itoa(int(floor.Tier)), strconv.FormatInt(floor.RemainingMS, 10), orDash(floor.RaisedBy)}
 	}
 	columns(w, []string{"POOL", "LOWEST TIER SERVED", "REMAINING MS", "ASKED BY"}, rows)
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -21,8 +21,8 @@
 	Routine Importance = iota
 	// Failure lines report requests that were not answered.
 	Failure
-	// Belief lines report changes of the state that the process assumes.
-	Belief
+	// StateChange lines report changes of the state that the process assumes.
+	StateChange
 	importances
 )
 
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -18,10 +18,10 @@
 	Wait time.Duration
 	// MaxAge is the age of the applied state at which an entry that is not the reader
 	// reads the log itself.
-	Patience time.Duration
+	MaxAge time.Duration
 	// RenewalTime is how long after an outage records that were dropped during it may be
 	// put again.
-	Settle time.Duration
+	RenewalTime time.Duration
 }
 
 const (
@@ -66,22 +66,22 @@
 
 // Callbacks are the functions that a Follower calls. They are called from its goroutine
 // or from the one that calls Replicate, one at a time.
-type Duties struct {
+type Callbacks struct {
 	// IsReader reports whether this entry is the reader.
-	Leads func() bool
+	IsReader func() bool
 	// Apply applies an update.
 	Apply func(Update)
 	// Unavailable and Available report changes of the log's availability. Available gets
 	// the duration of the outage.
-	Lost     func(Topic, error)
-	Regained func(Topic, time.Duration)
+	Unavailable func(Topic, error)
+	Available   func(Topic, time.Duration)
 }
 
 // Follower follows one topic.
 type Follower struct {
 	config    Config
 	log       Log
-	callbacks Duties
+	callbacks Callbacks
 	wake      chan struct{}
 
 	mutex sync.Mutex
@@ -100,7 +100,7 @@
 }
 
 // NewFollower returns a follower without any records.
-func NewFollower(config Config, log Log, callbacks Duties) *Follower {
+func NewFollower(config Config, log Log, callbacks Callbacks) *Follower {
 	return &Follower{config: config, log: log, callbacks: callbacks, wake: make(chan struct{}, 1), next: Position{Offset: -1}}
 }
 
@@ -152,10 +152,10 @@
 func (f *Follower) pause() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.next.Offset < 0 || f.AsOf().IsZero() || f.callbacks.Leads() {
+	if f.next.Offset < 0 || f.AsOf().IsZero() || f.callbacks.IsReader() {
 		return 0
 	}
-	return f.config.Patience - time.Since(f.AsOf())
+	return f.config.MaxAge - time.Since(f.AsOf())
 }
 
 func (f *Follower) backoff() time.Duration {
@@ -163,12 +163,12 @@
 	defer f.mutex.Unlock()
 	pause := min(backoffMax, backoffFirst<<min(f.failures, 4))
 	switch {
-	case f.next.Offset < 0 && f.callbacks.Leads():
+	case f.next.Offset < 0 && f.callbacks.IsReader():
 		pause = backoffFirst
 	case f.next.Offset < 0:
 		pause = backoffStart
 	}
-	if f.failures > 1 && f.next.Offset >= 0 && !f.callbacks.Leads() {
+	if f.failures > 1 && f.next.Offset >= 0 && !f.callbacks.IsReader() {
 		pause = backoffOther
 	}
 	return pause*3/4 + rand.N(pause/2)
@@ -237,7 +237,7 @@
 func (f *Follower) failed(began time.Time, err error) {
 	if f.failures == 0 {
 		f.failingSince = began
-		f.callbacks.Lost(f.config.Topic, err)
+		f.callbacks.Unavailable(f.config.Topic, err)
 	}
 	f.failures++
 }
@@ -248,7 +248,7 @@
 	}
 	f.failures = 0
 	f.recoveredAt = time.Now()
-	f.callbacks.Regained(f.config.Topic, time.Since(f.failingSince))
+	f.callbacks.Available(f.config.Topic, time.Since(f.failingSince))
 }
 
 // apply passes an update to Apply. The mutex is held, so that updates keep their order.
@@ -257,7 +257,7 @@
 	u.Restored = f.started && u.To.Generation > f.next.Generation
 	f.next, f.started = u.To, true
 	if time.Since(f.recoveredAt) < expiryWindow {
-		u.UnsettledUntil = f.recoveredAt.Add(f.config.Settle)
+		u.UnsettledUntil = f.recoveredAt.Add(f.config.RenewalTime)
 	}
 	f.callbacks.Apply(u)
 	if u.AsOf.After(f.AsOf()) {
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -131,16 +131,16 @@
 	return feed.Update{}, feed.Record{}
 }
 
-var config = feed.Config{Topic: feed.Targets, Interval: 50 * time.Millisecond, Wait: 800 * time.Millisecond, Patience: 1200 * time.Millisecond, Settle: 2300 * time.Millisecond}
+var config = feed.Config{Topic: feed.Targets, Interval: 50 * time.Millisecond, Wait: 800 * time.Millisecond, MaxAge: 1200 * time.Millisecond, RenewalTime: 2300 * time.Millisecond}
 
 func follow(ctx context.Context, log feed.Log, isReader bool) *recorder {
 	f := &recorder{isReader: isReader}
-	f.Follower = feed.NewFollower(config, log, feed.Duties{
-		Leads: func() bool { f.mutex.Lock(); defer f.mutex.Unlock(); return f.isReader },
-		Apply: func(u feed.Update) { f.mutex.Lock(); defer f.mutex.Unlock(); f.updates = append(f.updates, u) },
-		Lost:  func(feed.Topic, error) { f.mutex.Lock(); defer f.mutex.Unlock(); f.lost++ },
+	f.Follower = feed.NewFollower(config, log, feed.Callbacks{
+		IsReader:    func() bool { f.mutex.Lock(); defer f.mutex.Unlock(); return f.isReader },
+		Apply:       func(u feed.Update) { f.mutex.Lock(); defer f.mutex.Unlock(); f.updates = append(f.updates, u) },
+		Unavailable: func(feed.Topic, error) { f.mutex.Lock(); defer f.mutex.Unlock(); f.lost++ },
 
-		Regained: func(feed.Topic, time.Duration) {},
+		Available: func(feed.Topic, time.Duration) {},
 	})
 	go f.Run(ctx)
 	return f
@@ -342,8 +342,8 @@
 	log := &fakeLog{}
 	log.append("a", "1")
 	applying, goOn, applied := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	f := feed.NewFollower(config, log, feed.Duties{
-		Leads: func() bool { return true },
+	f := feed.NewFollower(config, log, feed.Callbacks{
+		IsReader: func() bool { return true },
 		Apply: func(feed.Update) {
 			select {
 			case applying <- struct{}{}:
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -173,10 +173,10 @@
 
 // waitLimit returns how long the caller waits.
 func (c *call) waitLimit() time.Duration {
-	if c.envelope.Patience == 0 {
+	if c.envelope.WaitLimit == 0 {
 		return defaultWaitLimit
 	}
-	return c.envelope.Patience
+	return c.envelope.WaitLimit
 }
 
 func (c *call) setExpiry() {
--- a/internal/gateway/digest.go
+++ b/internal/gateway/digest.go
@@ -65,7 +65,7 @@
 	organisations, statuses, complete := l.statuses()
 	digests, err := gossip.Digests(organisations, statuses)
 	if err != nil {
-		l.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"error": err.Error()})
+		l.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"error": err.Error()})
 		return
 	}
 	var to []peerset.Entry
@@ -85,7 +85,7 @@
 // statuses returns the statuses of this entry and of the entries with which it has direct
 // contact, and the organisations whose totals they hold. complete: these are all
 // organisations.
-func (l *links) statuses() (organisations []string, statuses []gossip.Word, complete bool) {
+func (l *links) statuses() (organisations []string, statuses []gossip.Status, complete bool) {
 	g := l.gateway
 	version := int64(0)
 	if c := g.configuration.Load(); c != nil {
@@ -102,14 +102,14 @@
 		totals = append(totals, g.state.quota.TotalsOf(m.Name))
 	}
 	organisations, complete = l.digestRotation.share(namesOf(totals), digestBytes, totalBytes)
-	statuses = append(statuses, gossip.Word{
-		Name: g.self.Name, Incarnation: g.self.Incarnation, Sequence: l.conn.Next(), AgeMS: now.Sub(g.started).Milliseconds(),
-		State: uint8(state), Blind: g.feeds.isStoreDisconnected(), Version: version,
+	statuses = append(statuses, gossip.Status{
+		Name: g.self.Name, Incarnation: g.self.Incarnation, Sequence: l.conn.NextSequence(), AgeMS: now.Sub(g.started).Milliseconds(),
+		State: uint8(state), StoreDisconnected: g.feeds.isStoreDisconnected(), Version: version,
 	})
 	for _, m := range members {
-		statuses = append(statuses, gossip.Word{
+		statuses = append(statuses, gossip.Status{
 			Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, AgeMS: m.LastContact.Sub(m.Started).Milliseconds(),
-			SilentMS: now.Sub(m.LastContact).Milliseconds(), State: uint8(m.State), Blind: m.StoreDisconnected, Version: m.Version,
+			SinceContactMS: now.Sub(m.LastContact).Milliseconds(), State: uint8(m.State), StoreDisconnected: m.StoreDisconnected, Version: m.Version,
 		})
 	}
 	for i := range statuses {
@@ -164,13 +164,13 @@
 	totals := make(map[string]quota.Total, len(m.Digest.Organisations))
 	now := time.Now()
 	g.state.mutex.Lock()
-	for i := range m.Digest.Words {
-		w := &m.Digest.Words[i]
+	for i := range m.Digest.Statuses {
+		w := &m.Digest.Statuses[i]
 		readTotals(totals, m.Digest.Organisations, w)
 		latest = max(latest, w.Version)
-		change := l.applyStatus(now, now.Add(-milliseconds(w.SilentMS)), peerset.Status{
+		change := l.applyStatus(now, now.Add(-milliseconds(w.SinceContactMS)), peerset.Status{
 			Entry: peerset.Entry{Name: w.Name, Incarnation: w.Incarnation}, Relayed: true,
-			State: peerset.State(w.State), Sequence: w.Sequence, Age: milliseconds(w.AgeMS), StoreDisconnected: w.Blind, Version: w.Version,
+			State: peerset.State(w.State), Sequence: w.Sequence, Age: milliseconds(w.AgeMS), StoreDisconnected: w.StoreDisconnected, Version: w.Version,
 		}, totals, m.Digest.Partial)
 		unknown = unknown || change.Unknown
 	}
@@ -183,7 +183,7 @@
 
 // readTotals replaces the contents of totals by those of a status; columns without an
 // organisation are ignored.
-func readTotals(totals map[string]quota.Total, organisations []string, w *gossip.Word) {
+func readTotals(totals map[string]quota.Total, organisations []string, w *gossip.Status) {
 	clear(totals)
 	for i, admitted := range w.Admitted {
 		if i >= len(organisations) {
--- a/internal/gateway/digest_test.go
+++ b/internal/gateway/digest_test.go
@@ -19,7 +19,7 @@
 	organisations := namesOf([]map[string]quota.Total{first, second})
 	g.Expect(organisations).To(Equal([]string{"a", "b", "d"}))
 	for _, totals := range []map[string]quota.Total{first, second} {
-		w := &gossip.Word{}
+		w := &gossip.Status{}
 		w.Admitted, w.Waiting = columns(organisations, totals)
 		received := make(map[string]quota.Total)
 		readTotals(received, organisations, w)
@@ -34,6 +34,6 @@
 func TestColumnsWithoutOrganisationAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	received := map[string]quota.Total{"stale": {Admitted: 1}}
-	readTotals(received, []string{"a"}, &gossip.Word{Admitted: []int64{3, 9}, Waiting: []int64{1, 1}})
+	readTotals(received, []string{"a"}, &gossip.Status{Admitted: []int64{3, 9}, Waiting: []int64{1, 1}})
 	g.Expect(received).To(Equal(map[string]quota.Total{"a": {Admitted: 3, Sent: 2}}))
 }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -57,7 +57,7 @@
 	shutdown := newShutdownTimes(began, grace)
 	g.shutdown.Store(shutdown)
 	g.draining.Store(true)
-	g.log.Write(eventlog.Belief, eventDrain, eventlog.Fields{"running": g.running.Load(), "grace_ms": grace.Milliseconds()})
+	g.log.Write(eventlog.StateChange, eventDrain, eventlog.Fields{"running": g.running.Load(), "grace_ms": grace.Milliseconds()})
 	g.links.announce()
 	linger := began.Add(fraction(grace, lingerShare))
 	time.Sleep(time.Until(linger))
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -63,10 +63,10 @@
 	drain := settings.Milliseconds(g.settings.Bounds.DrainMS)
 	apply := settings.Milliseconds(g.settings.Bounds.ConfigurationMS)
 	f.operators = feed.NewFollower(feed.Config{
-		Topic: feed.Operators, Interval: readPause, Wait: fraction(apply, waitShare), Patience: fraction(apply, maxAgeShare),
+		Topic: feed.Operators, Interval: readPause, Wait: fraction(apply, waitShare), MaxAge: fraction(apply, maxAgeShare),
 	}, g.platform, f.callbacks(f.applyOperators))
 	f.targets = feed.NewFollower(feed.Config{
-		Topic: feed.Targets, Interval: readPause, Wait: fraction(drain, waitShare), Patience: fraction(drain, maxAgeShare), Settle: outageGrace,
+		Topic: feed.Targets, Interval: readPause, Wait: fraction(drain, waitShare), MaxAge: fraction(drain, maxAgeShare), RenewalTime: outageGrace,
 	}, g.platform, f.callbacks(f.applyTargets))
 	return f
 }
@@ -75,31 +75,31 @@
 	return time.Duration(float64(total) * share)
 }
 
-func (f *feeds) callbacks(apply func(feed.Update)) feed.Duties {
-	return feed.Duties{
-		Leads: f.gateway.isReader,
-		Apply: apply,
-		Lost: func(topic feed.Topic, err error) {
+func (f *feeds) callbacks(apply func(feed.Update)) feed.Callbacks {
+	return feed.Callbacks{
+		IsReader: f.gateway.isReader,
+		Apply:    apply,
+		Unavailable: func(topic feed.Topic, err error) {
 			f.storeDisconnected[topic].Store(true)
 			f.gateway.links.heartbeatNow()
 			f.logStoreError(topic, err)
 		},
-		Regained: func(topic feed.Topic, after time.Duration) {
+		Available: func(topic feed.Topic, after time.Duration) {
 			f.storeDisconnected[topic].Store(false)
 			f.gateway.links.heartbeatNow()
-			f.gateway.log.Write(eventlog.Belief, eventStoreRegained, eventlog.Fields{"topic": topic.String(), "after_ms": after.Milliseconds()})
+			f.gateway.log.Write(eventlog.StateChange, eventStoreRegained, eventlog.Fields{"topic": topic.String(), "after_ms": after.Milliseconds()})
 		},
 	}
 }
 
 // logStoreError logs a failed call to the store.
 func (f *feeds) logStoreError(topic feed.Topic, err error) {
-	f.gateway.log.Write(eventlog.Belief, eventStoreLost, eventlog.Fields{"topic": topic.String(), "error": err.Error()})
+	f.gateway.log.Write(eventlog.StateChange, eventStoreLost, eventlog.Fields{"topic": topic.String(), "error": err.Error()})
 }
 
 // logUndecodable logs a record that is ignored.
 func (f *feeds) logUndecodable(topic feed.Topic, record feed.Record, err error) {
-	f.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"topic": topic.String(), "offset": record.Offset, "error": err.Error()})
+	f.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"topic": topic.String(), "offset": record.Offset, "error": err.Error()})
 }
 
 func (f *feeds) run(ctx context.Context) {
@@ -189,7 +189,7 @@
 	g.state.mutex.Unlock()
 	g.configuration.Store(configuration)
 	g.noteSynced()
-	g.log.Write(eventlog.Belief, eventConfiguration, eventlog.Fields{
+	g.log.Write(eventlog.StateChange, eventConfiguration, eventlog.Fields{
 		"from": from, "version": configuration.Version, "offset": offset, "routes": len(configuration.Routes), "organisations": len(configuration.Organisations),
 	})
 	return true
@@ -343,7 +343,7 @@
 	}
 	f.gateway.state.setTargets(f.gateway.state.rollouts.assignPools(targets, ordersAsOf))
 	for _, fields := range f.pendingLines {
-		f.gateway.log.Write(eventlog.Belief, eventTarget, fields)
+		f.gateway.log.Write(eventlog.StateChange, eventTarget, fields)
 	}
 	f.pendingLines = nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -94,8 +94,8 @@
 
 // advertisedLinks returns the address to which the other entries send.
 func advertisedLinks(s settings.Gateway) string {
-	if s.LinksTold != "" {
-		return s.LinksTold
+	if s.AnnouncedLinksAddress != "" {
+		return s.AnnouncedLinksAddress
 	}
 	return s.LinksAddress
 }
@@ -137,7 +137,7 @@
 	}
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	g.log.Write(eventlog.Belief, eventStart, eventlog.Fields{"incarnation": g.self.Incarnation, "callers": g.settings.CallersAddress})
+	g.log.Write(eventlog.StateChange, eventStart, eventlog.Fields{"incarnation": g.self.Incarnation, "callers": g.settings.CallersAddress})
 	go g.links.receive()
 	go g.links.run(work)
 	go g.feeds.run(work)
@@ -149,7 +149,7 @@
 	}
 	<-ctx.Done()
 	g.drain(servers)
-	g.log.Write(eventlog.Belief, eventStop, eventlog.Fields{"running": g.running.Load()})
+	g.log.Write(eventlog.StateChange, eventStop, eventlog.Fields{"running": g.running.Load()})
 	g.log.Close(200 * time.Millisecond)
 	return nil
 }
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -121,7 +121,7 @@
 	m := l.message()
 	m.Heartbeat = &gossip.Heartbeat{
 		Zone: g.self.Zone, Callers: g.self.Callers, Links: g.self.Links, State: uint8(g.ownState()),
-		Blind: g.feeds.isStoreDisconnected(),
+		StoreDisconnected: g.feeds.isStoreDisconnected(),
 	}
 	if c := g.configuration.Load(); c != nil {
 		m.Heartbeat.Version = c.Version
@@ -181,7 +181,7 @@
 	}
 	datagram, err := l.conn.Encode(m)
 	if err != nil {
-		l.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"error": err.Error()})
+		l.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"error": err.Error()})
 		return
 	}
 	for i := range members {
@@ -199,7 +199,7 @@
 	}
 	address, err := net.ResolveUDPAddr("udp4", text)
 	if err != nil {
-		l.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"address": text, "error": err.Error()})
+		l.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"address": text, "error": err.Error()})
 	}
 	l.resolved[text] = address
 	return address
@@ -266,7 +266,7 @@
 	removed := l.gateway.state.peers.Prune(time.Now())
 	l.gateway.state.mutex.Unlock()
 	for _, entry := range removed {
-		l.gateway.log.Write(eventlog.Belief, eventPeer, eventlog.Fields{"peer": entry.Name, "incarnation": entry.Incarnation, "state": "removed"})
+		l.gateway.log.Write(eventlog.StateChange, eventPeer, eventlog.Fields{"peer": entry.Name, "incarnation": entry.Incarnation, "state": "removed"})
 	}
 }
 
--- a/internal/gateway/loadreport.go
+++ b/internal/gateway/loadreport.go
@@ -92,7 +92,7 @@
 		samples = append(samples, gossip.Sample{Target: s.Target, TokenTime: int64(s.TokenTime), Latency: int64(s.Latency), Longest: int64(s.LongestPause)})
 	}
 	return &gossip.Load{
-		InFlight: load.InFlight, Reading: load.Reading, Samples: samples,
+		InFlight: load.InFlight, PendingPromptTokens: load.Reading, Samples: samples,
 		Waiting:        mapValues(load.Waiting, func(u dispatch.Urgency) uint32 { return uint32(u) }),
 		UnresponsiveMS: mapValues(load.Unresponsive, time.Duration.Milliseconds),
 		Limits:         mapValues(load.Limits, limitMessage),
@@ -115,7 +115,7 @@
 		samples = append(samples, dispatch.Sample{Target: s.Target, TokenTime: time.Duration(s.TokenTime), Latency: time.Duration(s.Latency), LongestPause: time.Duration(s.Longest)})
 	}
 	return dispatch.Load{
-		InFlight: m.InFlight, Reading: m.Reading, Samples: samples,
+		InFlight: m.InFlight, Reading: m.PendingPromptTokens, Samples: samples,
 		Waiting:      mapValues(m.Waiting, func(u uint32) dispatch.Urgency { return dispatch.Urgency(u) }),
 		Unresponsive: mapValues(m.UnresponsiveMS, milliseconds),
 		Limits:       mapValues(m.Limits, limitReportOf),
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -53,13 +53,13 @@
 	m.Set(telemetry.GatewayWaiting, float64(waiting))
 	m.Set(telemetry.GatewayTargetsAge, time.Since(g.targetsAsOf()).Seconds())
 	m.Set(telemetry.GatewayConfigurationAge, time.Since(g.feeds.operators.AsOf()).Seconds())
-	m.Total(telemetry.GatewayTargetConns, g.pool.Opened())
-	m.Total(telemetry.GatewayDatagramsSent, g.links.conn.Sent.Load())
-	m.Total(telemetry.GatewayDatagramsReceived, g.links.conn.Received.Load())
-	g.counters.tries.each(func(key string, n int64) { m.Total(telemetry.GatewayTries, n, key) })
-	g.counters.updates.each(func(key string, n int64) { m.Total(telemetry.GatewayStoreCalls, n, key) })
+	m.SetTotal(telemetry.GatewayTargetConns, g.pool.Opened())
+	m.SetTotal(telemetry.GatewayDatagramsSent, g.links.conn.Sent.Load())
+	m.SetTotal(telemetry.GatewayDatagramsReceived, g.links.conn.Received.Load())
+	g.counters.tries.each(func(key string, n int64) { m.SetTotal(telemetry.GatewayTries, n, key) })
+	g.counters.updates.each(func(key string, n int64) { m.SetTotal(telemetry.GatewayStoreCalls, n, key) })
 	for importance, n := range g.log.Omitted() {
-		m.Total(telemetry.GatewayLinesOmitted, n, importance.String())
+		m.SetTotal(telemetry.GatewayLinesOmitted, n, importance.String())
 	}
 }
 
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -47,7 +47,7 @@
 	// Key is the organisation's key; empty: the caller sent none.
 	Key string
 	// WaitLimit is how long the caller waits; 0: not declared.
-	Patience time.Duration
+	WaitLimit time.Duration
 	// PromptTokens and OutputTokens are the length of the prompt and the largest number of
 	// tokens to generate, where declared.
 	PromptTokens, OutputTokens int
@@ -59,9 +59,9 @@
 }
 
 // ForwardInfo holds what the gateway adds to a request that it forwards to a target.
-type Send struct {
+type ForwardInfo struct {
 	// Remaining is the time that the target has for the request.
-	Left time.Duration
+	Remaining time.Duration
 	// Organisation is the name of the caller's organisation; empty: none.
 	Organisation string
 	// Target is the id of the server that the request is meant for.
@@ -73,7 +73,7 @@
 }
 
 // AnswerHead holds what the head of a target's answer declares.
-type AnswerMark struct {
+type AnswerHead struct {
 	// ID is the id of the request that the answer belongs to.
 	ID string
 	// NotRun: the target declares that it did not run the request.
@@ -94,9 +94,9 @@
 	// ReadEnvelope reads a caller's headers.
 	ReadEnvelope(*fasthttp.RequestHeader) (Envelope, error)
 	// AppendHead appends the request line and headers for a target.
-	AppendHead(dst []byte, header *fasthttp.RequestHeader, send Send) []byte
+	AppendHead(dst []byte, header *fasthttp.RequestHeader, send ForwardInfo) []byte
 	// ReadAnswerHead reads the head of a target's answer.
-	ReadMark(status int, header http.Header) AnswerMark
+	ReadAnswerHead(status int, header http.Header) AnswerHead
 	// DecodeConfiguration returns nil for operators' records that hold no configuration.
 	DecodeConfiguration(feed.Record) (*catalog.Configuration, error)
 	// DecodeOrder returns nil for operators' records that hold no roll-out order.
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -106,7 +106,7 @@
 	l.reader = reader
 	l.mutex.Unlock()
 	if changed {
-		l.gateway.log.Write(eventlog.Belief, eventReader, eventlog.Fields{"reader": reader})
+		l.gateway.log.Write(eventlog.StateChange, eventReader, eventlog.Fields{"reader": reader})
 	}
 }
 
@@ -114,7 +114,7 @@
 func (l *links) replicate(u feed.Update, changed []feed.Record) {
 	replica := &gossip.Replica{
 		Topic: u.Topic, From: u.From.Offset, To: u.To.Offset, Generation: u.To.Generation,
-		Records: changed, AgeMS: time.Since(u.AsOf).Milliseconds(), Whole: u.Reset,
+		Records: changed, AgeMS: time.Since(u.AsOf).Milliseconds(), Snapshot: u.Reset,
 	}
 	members := l.readFor(l.members())
 	if len(changed) == 0 {
@@ -125,7 +125,7 @@
 	}
 	fragments, err := gossip.Split(l.fragmented.Add(1), replica)
 	if err != nil {
-		l.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"topic": u.Topic.String(), "error": err.Error()})
+		l.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"topic": u.Topic.String(), "error": err.Error()})
 		return
 	}
 	for i := range fragments {
--- a/internal/gateway/reasons_test.go
+++ b/internal/gateway/reasons_test.go
@@ -79,9 +79,9 @@
 	now := time.Unix(1_000_000, 0)
 	log := eventlog.New(logger, func() time.Time { return now })
 	for range 5000 {
-		log.Write(eventlog.Belief, "x", eventlog.Fields{})
+		log.Write(eventlog.StateChange, "x", eventlog.Fields{})
 	}
-	g.Expect(log.Omitted()[eventlog.Belief]).To(BeNumerically(">", 3000))
+	g.Expect(log.Omitted()[eventlog.StateChange]).To(BeNumerically(">", 3000))
 	close(writer.released)
 	log.Close(time.Minute)
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -60,7 +60,7 @@
 	h := m.Heartbeat
 	status := peerset.Status{
 		Entry: peerset.Entry{Name: m.From, Incarnation: m.Incarnation, Zone: h.Zone, Callers: h.Callers, Links: h.Links},
-		State: peerset.State(h.State), Sequence: m.Sequence, Age: milliseconds(m.AgeMS), StoreDisconnected: h.Blind, Version: h.Version,
+		State: peerset.State(h.State), Sequence: m.Sequence, Age: milliseconds(m.AgeMS), StoreDisconnected: h.StoreDisconnected, Version: h.Version,
 	}
 	now := time.Now()
 	l.gateway.state.mutex.Lock()
@@ -85,7 +85,7 @@
 	}
 	if change.Joined || change.Replaced {
 		l.scheduleCells(now)
-		g.log.Write(eventlog.Belief, eventPeer, eventlog.Fields{
+		g.log.Write(eventlog.StateChange, eventPeer, eventlog.Fields{
 			"peer": status.Name, "incarnation": status.Incarnation, "state": status.State.String(),
 			"joined": change.Joined, "replaced": change.Replaced, "relayed": status.Relayed, "age_ms": now.Sub(at).Milliseconds(),
 		})
@@ -161,7 +161,7 @@
 	}
 	asOf := time.Now().Add(-milliseconds(replica.AgeMS))
 	to := feed.Position{Generation: replica.Generation, Offset: replica.To}
-	if replica.Whole {
+	if replica.Snapshot {
 		follower.ReplicateSnapshot(to, replica.Records, asOf)
 		return
 	}
@@ -173,7 +173,7 @@
 func (l *links) handleFragment(m *gossip.Message) {
 	update, err := l.assembler.Add(time.Now(), m.Incarnation, m.Fragment)
 	if err != nil {
-		l.gateway.log.Write(eventlog.Belief, eventUndecodable, eventlog.Fields{"peer": m.From, "error": err.Error()})
+		l.gateway.log.Write(eventlog.StateChange, eventUndecodable, eventlog.Fields{"peer": m.From, "error": err.Error()})
 		return
 	}
 	if update != nil {
@@ -184,6 +184,6 @@
 func (l *links) handleCrash(c *gossip.Crash) {
 	isNew, count := l.gateway.state.countBroken(crashes.Fingerprint(c.Fingerprint), c.ID)
 	if isNew {
-		l.gateway.log.Write(eventlog.Belief, eventSuspect, eventlog.Fields{"id": c.ID, "fingerprint": crashes.Fingerprint(c.Fingerprint).String(), "count": count})
+		l.gateway.log.Write(eventlog.StateChange, eventSuspect, eventlog.Fields{"id": c.ID, "fingerprint": crashes.Fingerprint(c.Fingerprint).String(), "count": count})
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -25,13 +25,13 @@
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	g.log.Write(eventlog.Belief, eventReload, fields)
+	g.log.Write(eventlog.StateChange, eventReload, fields)
 }
 
 // RejectReload logs that a changed settings file is invalid; the previous settings stay in
 // force.
 func (g *Gateway) RejectReload(err error) {
-	g.log.Write(eventlog.Belief, eventReload, eventlog.Fields{"accepted": false, "error": err.Error()})
+	g.log.Write(eventlog.StateChange, eventReload, eventlog.Fields{"accepted": false, "error": err.Error()})
 }
 
 func quotaConfig(b settings.GatewayBounds) quota.Config {
--- a/internal/gateway/rolloutlead.go
+++ b/internal/gateway/rolloutlead.go
@@ -234,7 +234,7 @@
 	case rollout.RolledBack:
 		g.state.deliver(g.state.sched.Redirect(time.Now(), known.tracker.NewVersionPool(), known.current))
 	}
-	g.log.Write(eventlog.Belief, eventRollout, eventlog.Fields{
+	g.log.Write(eventlog.StateChange, eventRollout, eventlog.Fields{
 		"service": service, "order": known.tracker.Order().ID, "to": known.tracker.Order().To, "phase": phase.String(), "from": from,
 		"elapsed_ms": known.tracker.Elapsed(time.Now()).Milliseconds(),
 	})
--- a/internal/gateway/rolloutlinks.go
+++ b/internal/gateway/rolloutlinks.go
@@ -58,7 +58,7 @@
 			message.Flags |= gossip.ObservedFailed
 		}
 		if o.ConnectionLost {
-			message.Flags |= gossip.ObservedSevered
+			message.Flags |= gossip.ObservedConnectionLost
 		}
 		if o.Loaded {
 			message.Flags |= gossip.ObservedLoaded
@@ -74,7 +74,7 @@
 		observations = append(observations, rollout.Observation{
 			Number: m.Number, Route: m.Route, Target: m.Target, New: isNew, Load: int(m.Load),
 			Loaded: m.Flags&gossip.ObservedLoaded != 0,
-			Failed: m.Flags&gossip.ObservedFailed != 0, ConnectionLost: m.Flags&gossip.ObservedSevered != 0,
+			Failed: m.Flags&gossip.ObservedFailed != 0, ConnectionLost: m.Flags&gossip.ObservedConnectionLost != 0,
 			Pace: time.Duration(m.Pace) * time.Microsecond, FirstEvent: time.Duration(m.First) * time.Microsecond, Duration: milliseconds(int64(m.TookMS)),
 		})
 	}
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -111,7 +111,7 @@
 		go r.readRecord(order)
 	}
 	r.services[order.Service] = started
-	g.log.Write(eventlog.Belief, eventRollout, eventlog.Fields{
+	g.log.Write(eventlog.StateChange, eventRollout, eventlog.Fields{
 		"service": order.Service, "order": order.ID, "to": order.To, "duration_ms": order.Duration.Milliseconds(), "phase": "ordered",
 	})
 	signal(r.wake)
--- a/internal/gateway/rolloutstore.go
+++ b/internal/gateway/rolloutstore.go
@@ -188,7 +188,7 @@
 // logDecision logs a decision that has been written to the store, with the counts that led to
 // it.
 func (r *rollouts) logDecision(order rollout.Order, d rollout.Decision) {
-	r.gateway.log.Write(eventlog.Belief, eventRollout, eventlog.Fields{
+	r.gateway.log.Write(eventlog.StateChange, eventRollout, eventlog.Fields{
 		"service": order.Service, "order": order.ID, "to": order.To, "action": d.Action.String(), "reason": string(d.Reason),
 		"unclear": string(d.Unclear), "answers": d.Answers, "bad": d.Bad, "expected": d.Expected, "worse": d.Worse,
 	})
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -178,18 +178,18 @@
 }
 
 // send gets a connection, sends the request and reads the head of the answer.
-func (c *call) send(grant *dispatch.Grant) (*upstream.Answer, AnswerMark, error) {
+func (c *call) send(grant *dispatch.Grant) (*upstream.Answer, AnswerHead, error) {
 	maxAge := time.Hour
 	if !c.route.Idempotent() {
 		maxAge = maxIdleUnrepeatable
 	}
 	conn, err := c.gateway.pool.Get(grant.Target.Address, maxAge)
 	if err != nil {
-		return nil, AnswerMark{}, err
+		return nil, AnswerHead{}, err
 	}
 	if !c.setSending(conn) {
 		_ = conn.Close()
-		return nil, AnswerMark{}, upstream.ErrNotSent
+		return nil, AnswerHead{}, upstream.ErrNotSent
 	}
 	c.sends++
 	c.countSent()
@@ -199,13 +199,13 @@
 	exchange := &upstream.Exchange{
 		Method: string(request.Header.Method()),
 		Body:   body,
-		Head: c.gateway.platform.AppendHead(nil, &request.Header, Send{
-			Left: left, Organisation: c.organisation, Target: grant.Target.ID,
+		Head: c.gateway.platform.AppendHead(nil, &request.Header, ForwardInfo{
+			Remaining: left, Organisation: c.organisation, Target: grant.Target.ID,
 			LastEvent: c.lastEvent, BodyLength: len(body),
 		}),
 		Deadline: c.tryDeadline(),
 		Matches: func(h http.Header) bool {
-			return c.gateway.platform.ReadMark(0, h).ID == c.envelope.ID && h.Get("Content-Encoding") == ""
+			return c.gateway.platform.ReadAnswerHead(0, h).ID == c.envelope.ID && h.Get("Content-Encoding") == ""
 		},
 	}
 	answer, err := c.gateway.pool.Send(conn, exchange)
@@ -215,9 +215,9 @@
 			c.sends--
 			c.countUnsent()
 		}
-		return nil, AnswerMark{}, err
+		return nil, AnswerHead{}, err
 	}
-	head := c.gateway.platform.ReadMark(answer.Status, answer.Header)
+	head := c.gateway.platform.ReadAnswerHead(answer.Status, answer.Header)
 	c.applyAnswerHead(grant, head)
 	return answer, head, nil
 }
@@ -226,13 +226,13 @@
 const fromAnswer = "answer"
 
 // applyAnswerHead passes on what the head of an answer declares about the target.
-func (c *call) applyAnswerHead(grant *dispatch.Grant, head AnswerMark) {
+func (c *call) applyAnswerHead(grant *dispatch.Grant, head AnswerHead) {
 	if head.Replaced {
 		return
 	}
 	c.gateway.state.observeLimit(grant.Ticket, head.Limit)
 	if head.Pause > 0 {
-		c.gateway.log.Write(eventlog.Belief, eventPause, eventlog.Fields{
+		c.gateway.log.Write(eventlog.StateChange, eventPause, eventlog.Fields{
 			"id": c.envelope.ID, "target": grant.Target.ID, "pause_ms": head.Pause.Milliseconds(),
 		})
 		c.gateway.state.observePause(grant.Ticket, head.Pause)
@@ -307,7 +307,7 @@
 }
 
 // handleRejection handles an answer which declares that the request was not run.
-func (c *call) handleRejection(grant *dispatch.Grant, began time.Time, answer *upstream.Answer, head AnswerMark) bool {
+func (c *call) handleRejection(grant *dispatch.Grant, began time.Time, answer *upstream.Answer, head AnswerHead) bool {
 	c.countUnsent()
 	_, _ = io.CopyN(io.Discard, answer, maxBufferedAnswer)
 	c.closeAnswer(answer)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -133,7 +133,7 @@
 }
 
 func (s *state) logLimit(change *dispatch.LimitChange) {
-	s.log.Write(eventlog.Belief, eventLimit, eventlog.Fields{
+	s.log.Write(eventlog.StateChange, eventLimit, eventlog.Fields{
 		"target": change.Target, "limited": change.Now.Declared, "per_second": change.Now.PerSecond, "peer": change.Peer,
 		"before_per_second": change.Before.PerSecond, "sent": change.Sent, "for_ms": change.For.Milliseconds(),
 	})
--- a/internal/gateway/storerestored.go
+++ b/internal/gateway/storerestored.go
@@ -19,7 +19,7 @@
 // handleRestored logs that the store has been restored from an older copy, and schedules
 // rewriteLost once for each generation.
 func (f *feeds) handleRestored(u feed.Update) {
-	f.gateway.log.Write(eventlog.Belief, eventStoreRestored, eventlog.Fields{
+	f.gateway.log.Write(eventlog.StateChange, eventStoreRestored, eventlog.Fields{
 		"topic": u.Topic.String(), "generation": u.To.Generation, "generation_before": u.From.Generation,
 		"to": u.To.Offset, "before": u.From.Offset, "records": len(u.Records), "replicated": u.Replicated,
 	})
--- a/internal/gateway/suspend.go
+++ b/internal/gateway/suspend.go
@@ -35,7 +35,7 @@
 				continue
 			}
 			start, offset = time.Now(), bootTime()
-			g.log.Write(eventlog.Belief, eventPaused, eventlog.Fields{"suspended_ms": ahead.Milliseconds()})
+			g.log.Write(eventlog.StateChange, eventPaused, eventlog.Fields{"suspended_ms": ahead.Milliseconds()})
 			g.feeds.refresh()
 		}
 	}
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -12,11 +12,11 @@
 // loadReport returns the load report of an entry with four requests at the ten targets of its
 // cell, with the totals of some organisations.
 func loadReport(organisations int) *gossip.Message {
-	load := &gossip.Load{InFlight: map[string]int{}, Reading: map[string]int{}, Waiting: map[string]uint32{}}
+	load := &gossip.Load{InFlight: map[string]int{}, PendingPromptTokens: map[string]int{}, Waiting: map[string]uint32{}}
 	for i := range 4 {
 		load.InFlight[fmt.Sprintf("i-7f3a91c%d", i)] = 1
 	}
-	load.Reading["i-7f3a91c0"] = 3720
+	load.PendingPromptTokens["i-7f3a91c0"] = 3720
 	load.Samples = []gossip.Sample{{Target: "i-7f3a91c1", TokenTime: 21000, Latency: 12_000_000}}
 	if organisations > 0 {
 		load.Totals = make(map[string]gossip.Total)
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -13,7 +13,7 @@
 	PassOn bool `cbor:"1,keyasint,omitempty"`
 	// Organisations names the organisations of the totals in Statuses, in the same order.
 	Organisations []string `cbor:"2,keyasint,omitempty"`
-	Words         []Word   `cbor:"3,keyasint"`
+	Statuses      []Status `cbor:"3,keyasint"`
 	// Partial is set as in Heartbeat.
 	Partial bool `cbor:"4,keyasint,omitempty"`
 }
@@ -21,31 +21,31 @@
 // Status is the latest status that an entry has reported. It has no addresses, which would
 // take up a third of the datagram: they are in the register of entries and in the
 // heartbeat that an entry sends at its start.
-type Word struct {
+type Status struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
 	Sequence    uint64
 	// AgeMS is how long the entry had been running, SinceContactMS the time between the last
 	// contact with it and the sending of this message.
-	AgeMS, SilentMS int64
-	State           uint8
-	Blind           bool
-	Version         int64
+	AgeMS, SinceContactMS int64
+	State                 uint8
+	StoreDisconnected     bool
+	Version               int64
 	// Admitted and Waiting are the parts of its totals, by organisation. Trailing zeros
 	// are omitted.
 	Admitted, Waiting []int64
 }
 
 // Digests distributes statuses over digests that fit a datagram each.
-func Digests(organisations []string, statuses []Word) ([]*Digest, error) {
+func Digests(organisations []string, statuses []Status) ([]*Digest, error) {
 	var digests []*Digest
 	for len(statuses) > 0 {
 		n, err := fitCount(organisations, statuses)
 		if err != nil {
 			return nil, err
 		}
-		digests = append(digests, &Digest{PassOn: true, Organisations: organisations, Words: statuses[:n]})
+		digests = append(digests, &Digest{PassOn: true, Organisations: organisations, Statuses: statuses[:n]})
 		statuses = statuses[n:]
 	}
 	return digests, nil
@@ -56,7 +56,7 @@
 const envelopeBytes = 120
 
 // fitCount returns how many of the statuses, from the first on, fit one datagram.
-func fitCount(organisations []string, statuses []Word) (int, error) {
+func fitCount(organisations []string, statuses []Status) (int, error) {
 	size, err := encodedSize(organisations)
 	if err != nil {
 		return 0, err
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -11,10 +11,10 @@
 	"sycamoretrail/internal/gossip"
 )
 
-func statuses(n, organisations int) []gossip.Word {
-	var list []gossip.Word
+func statuses(n, organisations int) []gossip.Status {
+	var list []gossip.Status
 	for i := range n {
-		w := gossip.Word{Name: fmt.Sprint("front-monumento-", i), Incarnation: 1<<63 + uint64(i), Sequence: 100_000, AgeMS: 40_000, SilentMS: 120, State: 1, Version: 4711}
+		w := gossip.Status{Name: fmt.Sprint("front-monumento-", i), Incarnation: 1<<63 + uint64(i), Sequence: 100_000, AgeMS: 40_000, SinceContactMS: 120, State: 1, Version: 4711}
 		for o := range organisations {
 			w.Admitted = append(w.Admitted, int64(1_000_000+o))
 			w.Waiting = append(w.Waiting, int64(4_000))
@@ -42,7 +42,7 @@
 			list := statuses(13, organisations)
 			digests, err := gossip.Digests(names(organisations), list)
 			g.Expect(err).NotTo(HaveOccurred())
-			var decoded []gossip.Word
+			var decoded []gossip.Status
 			for _, digest := range digests {
 				m := &gossip.Message{From: strings.Repeat("x", 40), Incarnation: 1 << 63, AgeMS: 1 << 40, Sequence: 1 << 40, Digest: digest}
 				data, err := cbor.Marshal(m)
@@ -50,7 +50,7 @@
 				g.Expect(len(data)).To(BeNumerically("<=", gossip.MaxDatagram))
 				back := &gossip.Message{}
 				g.Expect(cbor.Unmarshal(data, back)).To(Succeed())
-				decoded = append(decoded, back.Digest.Words...)
+				decoded = append(decoded, back.Digest.Statuses...)
 			}
 			g.Expect(decoded).To(Equal(list))
 		})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -62,7 +62,7 @@
 	Totals map[string]Total `cbor:"8,keyasint,omitempty"`
 	// StoreDisconnected is set while the sender cannot read the store, so that it is not
 	// chosen as the reader.
-	Blind bool `cbor:"7,keyasint,omitempty"`
+	StoreDisconnected bool `cbor:"7,keyasint,omitempty"`
 	// Partial is set if further totals follow in later heartbeats.
 	Partial bool `cbor:"9,keyasint,omitempty"`
 }
@@ -79,7 +79,7 @@
 	UnresponsiveMS map[string]int64 `cbor:"4,keyasint,omitempty"`
 	// PendingPromptTokens is the number of the sender's prompt tokens that targets have not
 	// processed yet.
-	Reading map[string]int `cbor:"6,keyasint,omitempty"`
+	PendingPromptTokens map[string]int `cbor:"6,keyasint,omitempty"`
 	// Samples are the sender's measurements of targets since its last report.
 	Samples []Sample `cbor:"7,keyasint,omitempty"`
 	// Partial is set as in Heartbeat.
@@ -138,7 +138,7 @@
 	AgeMS int64 `cbor:"5,keyasint"`
 	// Snapshot is set if Records is a snapshot with the newest record of each key, rather
 	// than changes.
-	Whole bool `cbor:"6,keyasint,omitempty"`
+	Snapshot bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Crash reports that a run of a request ended with a broken connection.
@@ -176,11 +176,11 @@
 
 // NextSequence returns a sequence number for a status of the sender. It is greater than the
 // numbers of earlier messages and less than those of later ones.
-func (c *Conn) Next() uint64 { return c.sequence.Add(1) }
+func (c *Conn) NextSequence() uint64 { return c.sequence.Add(1) }
 
 // Encode assigns the next sequence number to the message and encodes it as a datagram.
 func (c *Conn) Encode(m *Message) ([]byte, error) {
-	m.Sequence = c.Next()
+	m.Sequence = c.NextSequence()
 	data, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMessage, err)
--- a/internal/gossip/rollout.go
+++ b/internal/gossip/rollout.go
@@ -33,7 +33,7 @@
 
 // Flags of an Observation.
 const (
-	ObservedFailed  = 1
-	ObservedSevered = 2
-	ObservedLoaded  = 4
+	ObservedFailed         = 1
+	ObservedConnectionLost = 2
+	ObservedLoaded         = 4
 )
--- a/internal/operators/aliases.go
+++ b/internal/operators/aliases.go
@@ -18,7 +18,7 @@
 // Results of a publication.
 const (
 	ResultAccepted     = api.ResultAccepted
-	ResultBeaten       = api.ResultBeaten
+	ResultSuperseded   = api.ResultSuperseded
 	ResultUnknown      = api.ResultUnknown
 	ResultInvalid      = api.ResultInvalid
 	ResultNotPublished = api.ResultNotPublished
--- a/internal/operators/api/api.go
+++ b/internal/operators/api/api.go
@@ -54,8 +54,8 @@
 	InFlight int    `json:"in_flight"`
 	// Linked reports whether a link is open. SilentMS is the time since the last
 	// heartbeat.
-	Linked   bool  `json:"linked"`
-	SilentMS int64 `json:"silent_ms"`
+	Linked           bool  `json:"linked"`
+	SinceHeartbeatMS int64 `json:"silent_ms"`
 }
 
 // Targets answers GET /admin/v1/targets.
@@ -71,19 +71,19 @@
 	Zone  string `json:"zone"`
 	// Scheduler names the entry that grants the target's slots.
 	Scheduler string `json:"scheduler"`
-	// Here is true if this entry is the scheduler, so that the fields below are
+	// ScheduledHere is true if this entry is the scheduler, so that the fields below are
 	// exact; otherwise they are from the scheduler's last heartbeat.
-	Here         bool    `json:"here"`
-	Available    bool    `json:"available"`
-	Leaving      bool    `json:"leaving"`
-	Straggler    bool    `json:"straggler"`
-	Limit        int     `json:"limit"`
-	InFlight     int     `json:"in_flight"`
-	QueuedByTier []int   `json:"queued_by_tier"`
-	PrefillRate  float64 `json:"prefill_rate"`
-	StepMS       float64 `json:"step_ms"`
-	WaitMS       int64   `json:"wait_ms"`
-	Suspects     int     `json:"suspects"`
+	ScheduledHere bool    `json:"here"`
+	Available     bool    `json:"available"`
+	Leaving       bool    `json:"leaving"`
+	Straggler     bool    `json:"straggler"`
+	Limit         int     `json:"limit"`
+	InFlight      int     `json:"in_flight"`
+	QueuedByTier  []int   `json:"queued_by_tier"`
+	PrefillRate   float64 `json:"prefill_rate"`
+	StepMS        float64 `json:"step_ms"`
+	WaitMS        int64   `json:"wait_ms"`
+	Suspects      int     `json:"suspects"`
 }
 
 // Floors answers GET /admin/v1/floors.
@@ -97,8 +97,8 @@
 	Tier request.Tier `json:"tier"`
 	// RemainingMS is the time until the floor expires.
 	RemainingMS int64 `json:"remaining_ms"`
-	// AskedBy names the entry whose request raised the floor.
-	AskedBy string `json:"asked_by"`
+	// RaisedBy names the entry whose request raised the floor.
+	RaisedBy string `json:"asked_by"`
 }
 
 // Explanation answers GET /admin/v1/explain?id=. Known is false if this entry has
@@ -107,7 +107,7 @@
 	ID        string     `json:"id"`
 	Known     bool       `json:"known"`
 	Owner     string     `json:"owner"`
-	Standing  string     `json:"standing"`
+	State     string     `json:"standing"`
 	Decisions []Decision `json:"decisions"`
 }
 
@@ -138,8 +138,8 @@
 const (
 	// ResultAccepted means that the document came into force as Version.
 	ResultAccepted Result = "accepted"
-	// ResultBeaten means that another document was accepted first; Winner is its id.
-	ResultBeaten Result = "beaten"
+	// ResultSuperseded means that another document was accepted first; Winner is its id.
+	ResultSuperseded Result = "beaten"
 	// ResultUnknown means that the log is unavailable or its answer was lost. The
 	// document may still come into force; publishing it again with the same id is
 	// harmless.
--- a/internal/operators/inspector.go
+++ b/internal/operators/inspector.go
@@ -15,9 +15,9 @@
 	Floors(ctx context.Context) (Floors, error)
 	Explain(ctx context.Context, id string) (Explanation, error)
 	Document(ctx context.Context) (Document, error)
-	// Verdict returns the result of publishing the document at this entry. A zero
+	// PublishResult returns the result of publishing the document at this entry. A zero
 	// Result means that the entry has not processed the document yet.
-	Verdict(ctx context.Context, documentID string) (Published, error)
+	PublishResult(ctx context.Context, documentID string) (Published, error)
 }
 
 // Controls changes the state of the process.
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -53,8 +53,8 @@
 	return Document{Version: 9, ID: "d", Data: json.RawMessage(`{"id":"d"}`)}, nil
 }
 
-// Verdict returns the results in turn and repeats the last one.
-func (f *fake) Verdict(_ context.Context, id string) (Published, error) {
+// PublishResult returns the results in turn and repeats the last one.
+func (f *fake) PublishResult(_ context.Context, id string) (Published, error) {
 	if len(f.results) == 0 {
 		return Published{}, nil
 	}
@@ -183,10 +183,10 @@
 	// Two operators publish on the same base. The answer to the second names the
 	// document that superseded it, so that the operator can compare and publish again.
 	It("names the document that superseded this one", func() {
-		f.results = []Published{{Result: ResultBeaten, Winner: "other", WinnerVersion: 11}}
+		f.results = []Published{{Result: ResultSuperseded, Winner: "other", WinnerVersion: 11}}
 		status, answer := published(`{"id":"d"}`)
 		Expect(status).To(Equal(409))
-		Expect(answer).To(Equal(Published{ID: "d", Result: ResultBeaten, Winner: "other", WinnerVersion: 11}))
+		Expect(answer).To(Equal(Published{ID: "d", Result: ResultSuperseded, Winner: "other", WinnerVersion: 11}))
 	})
 
 	// The log appended the record and its answer was lost. The entry still reads the
--- a/internal/operators/operatorstest/fake.go
+++ b/internal/operators/operatorstest/fake.go
@@ -186,7 +186,7 @@
 	if faults := doc.Check(); len(faults) > 0 {
 		return invalid(doc.ID, faults)
 	}
-	result := api.Published{ID: doc.ID, Result: api.ResultBeaten, Winner: f.id, WinnerVersion: f.version}
+	result := api.Published{ID: doc.ID, Result: api.ResultSuperseded, Winner: f.id, WinnerVersion: f.version}
 	if doc.Base == f.version {
 		f.version++
 		f.id = doc.ID
@@ -290,7 +290,7 @@
 	case api.PathTargets:
 		answer(ctx, fasthttp.StatusOK, e.targets())
 	case api.PathFloors:
-		answer(ctx, fasthttp.StatusOK, api.Floors{Floors: []api.Floor{{Pool: "engines", Tier: 1, RemainingMS: 700, AskedBy: e.Name}}})
+		answer(ctx, fasthttp.StatusOK, api.Floors{Floors: []api.Floor{{Pool: "engines", Tier: 1, RemainingMS: 700, RaisedBy: e.Name}}})
 	case api.PathExplain:
 		answer(ctx, fasthttp.StatusOK, e.explain(string(ctx.QueryArgs().Peek("id"))))
 	default:
@@ -301,7 +301,7 @@
 // resultStatus maps a result to an HTTP status, as entries do.
 var resultStatus = map[api.Result]int{
 	api.ResultAccepted:     fasthttp.StatusOK,
-	api.ResultBeaten:       fasthttp.StatusConflict,
+	api.ResultSuperseded:   fasthttp.StatusConflict,
 	api.ResultUnknown:      fasthttp.StatusAccepted,
 	api.ResultInvalid:      fasthttp.StatusUnprocessableEntity,
 	api.ResultNotPublished: fasthttp.StatusServiceUnavailable,
@@ -358,7 +358,7 @@
 
 func (e *Entry) targets() api.Targets {
 	return api.Targets{Targets: []api.Target{
-		{Name: "engine-0", Pool: "engines", Class: "new", Zone: "a", Scheduler: e.Name, Here: true, Available: true, Limit: 8, InFlight: 5, QueuedByTier: []int{1, 0, 4}, PrefillRate: 8000, StepMS: 16, Suspects: 1},
+		{Name: "engine-0", Pool: "engines", Class: "new", Zone: "a", Scheduler: e.Name, ScheduledHere: true, Available: true, Limit: 8, InFlight: 5, QueuedByTier: []int{1, 0, 4}, PrefillRate: 8000, StepMS: 16, Suspects: 1},
 		{Name: "desk-0", Pool: "desks", Class: "desk", Zone: "a", Scheduler: e.Name, Leaving: true},
 	}}
 }
--- a/internal/operators/publish.go
+++ b/internal/operators/publish.go
@@ -49,7 +49,7 @@
 	ticker := time.NewTicker(resultPollInterval)
 	defer ticker.Stop()
 	for {
-		result, err := p.inspector.Verdict(ctx, id)
+		result, err := p.inspector.PublishResult(ctx, id)
 		if err == nil && result.Result != "" {
 			return result
 		}
--- a/internal/operators/server.go
+++ b/internal/operators/server.go
@@ -147,7 +147,7 @@
 // status, so that scripts evaluate the result.
 var publishStatus = map[Result]int{
 	ResultAccepted:     fasthttp.StatusOK,
-	ResultBeaten:       fasthttp.StatusConflict,
+	ResultSuperseded:   fasthttp.StatusConflict,
 	ResultUnknown:      fasthttp.StatusAccepted,
 	ResultInvalid:      fasthttp.StatusUnprocessableEntity,
 	ResultNotPublished: fasthttp.StatusServiceUnavailable,
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -99,7 +99,7 @@
 }
 
 // SetListed sets the peer addresses that the instance list contains.
-func (l *Links) Listed(list []string) {
+func (l *Links) SetListed(list []string) {
 	l.mutex.Lock()
 	for _, a := range l.addresses {
 		a.listed = false
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -121,7 +121,7 @@
 		Expect(sent.NoLink).To(Equal(int64(1)))
 		for i, kind := range sent.Kinds {
 			Expect(kind.Sent).To(Equal(int64(1)), kind.Kind.String())
-			Expect(received.Kinds[i].RBytes).To(Equal(kind.SentBytes), kind.Kind.String())
+			Expect(received.Kinds[i].ReceivedBytes).To(Equal(kind.SentBytes), kind.Kind.String())
 		}
 	})
 
@@ -226,7 +226,7 @@
 		DeferCleanup(alias.Close)
 		a := startNode("1", listenAt(""), seeds(b.address))
 		Eventually(a.delivered).Should(HaveLen(1))
-		a.Listed([]string{alias.Addr().String(), a.address})
+		a.SetListed([]string{alias.Addr().String(), a.address})
 		Eventually(tried).Should(Receive(), "the alias was dialled and abandoned")
 		Expect(a.delivered()).To(Equal([]entry.Input{a.up(b)}))
 		Expect(b.delivered()).To(Equal([]entry.Input{b.up(a)}))
--- a/internal/peers/stats.go
+++ b/internal/peers/stats.go
@@ -4,9 +4,9 @@
 
 // KindStats counts the messages of one type since the start, over all links.
 type KindStats struct {
-	Kind             Kind
-	Sent, SentBytes  int64
-	Received, RBytes int64
+	Kind                    Kind
+	Sent, SentBytes         int64
+	Received, ReceivedBytes int64
 	// Dropped counts messages dropped by a full queue.
 	Dropped int64
 }
@@ -72,12 +72,12 @@
 	for kind := KindHeartbeat; kind < kindEnd; kind++ {
 		k := &c.kinds[kind]
 		stats.Kinds = append(stats.Kinds, KindStats{
-			Kind:      kind,
-			Sent:      k.sent.Load(),
-			SentBytes: k.sentBytes.Load(),
-			Received:  k.received.Load(),
-			RBytes:    k.receivedBytes.Load(),
-			Dropped:   k.dropped.Load(),
+			Kind:          kind,
+			Sent:          k.sent.Load(),
+			SentBytes:     k.sentBytes.Load(),
+			Received:      k.received.Load(),
+			ReceivedBytes: k.receivedBytes.Load(),
+			Dropped:       k.dropped.Load(),
 		})
 	}
 	return stats
--- a/internal/recording/recording_test.go
+++ b/internal/recording/recording_test.go
@@ -45,7 +45,7 @@
 var _ = Describe("a recording", func() {
 	It("can be replayed, with the recorded number of requests and prompt tokens", func() {
 		doc := examples.Tanglaw()
-		made, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Scenario: trace.Usual, Seed: 3, Load: 0.5, Seconds: 5})
+		made, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Scenario: trace.Typical, Seed: 3, Load: 0.5, Seconds: 5})
 		Expect(err).NotTo(HaveOccurred())
 		file := filepath.Join(GinkgoT().TempDir(), "trace.jsonl")
 		r, err := Open(file, "entry-1", key, began)
--- a/internal/replay/faults/faults.go
+++ b/internal/replay/faults/faults.go
@@ -85,7 +85,7 @@
 // requests.
 func (f *Failure) trace(s *Stage) (*trace.Trace, error) {
 	t, err := trace.Generate(s.document, trace.Options{
-		Deployment: trace.Tanglaw, Scenario: trace.Usual, Seed: seed, Load: f.Load, Seconds: f.Seconds,
+		Deployment: trace.Tanglaw, Scenario: trace.Typical, Seed: seed, Load: f.Load, Seconds: f.Seconds,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/replay/faults/logandoperators.go
+++ b/internal/replay/faults/logandoperators.go
@@ -205,7 +205,7 @@
 	if winner.Result != api.ResultAccepted {
 		winner, loser = loser, winner
 	}
-	p.require(winner.Result == api.ResultAccepted && loser.Result == api.ResultBeaten,
+	p.require(winner.Result == api.ResultAccepted && loser.Result == api.ResultSuperseded,
 		"race %d: the operators were told %s and %s", n, said[0].Result, said[1].Result)
 	p.require(loser.Winner == winner.ID && loser.WinnerVersion == winner.Version,
 		"race %d: %s beat %s as version %d, but the loser was told %q, version %d", n, winner.ID, loser.ID, winner.Version, loser.Winner, loser.WinnerVersion)
--- a/internal/replay/faults/targets.go
+++ b/internal/replay/faults/targets.go
@@ -140,11 +140,11 @@
 	ledger, err := p.ledger(says)
 	p.require(err == nil, "%v", err)
 	last := time.Duration(0)
-	if ledger.TurnedAway > 0 {
-		last = time.UnixMilli(ledger.LastTurnedAwayMS).Sub(p.begun)
+	if ledger.Rejected > 0 {
+		last = time.UnixMilli(ledger.LastRejectedMS).Sub(p.begun)
 	}
 	p.require(last < leavingLimit, "%s was given work %v after it said that it leaves", says, last)
-	p.fact("turned away by it", float64(ledger.TurnedAway), "")
+	p.fact("turned away by it", float64(ledger.Rejected), "")
 	p.fact("the last after", max(last, 0).Seconds(), "s")
 
 	last = 0
--- a/internal/replay/live/live_test.go
+++ b/internal/replay/live/live_test.go
@@ -144,7 +144,7 @@
 		sum := sha256.Sum256([]byte(tokens[o.Name]))
 		o.KeyHashes = []string{hex.EncodeToString(sum[:])}
 	}
-	t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Seed: 1, Load: 1.5, Seconds: 0.3, Scenario: trace.Usual})
+	t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Seed: 1, Load: 1.5, Seconds: 0.3, Scenario: trace.Typical})
 	Expect(err).NotTo(HaveOccurred())
 	in, err := Run(context.Background(), Options{
 		Trace: t, Document: doc, Entries: entries, Tokens: tokens, Callers: 3, Concurrency: 20,
--- a/internal/replay/sweep/bound_test.go
+++ b/internal/replay/sweep/bound_test.go
@@ -136,19 +136,19 @@
 				}
 			}
 		},
-		Entry("Tanglaw at 2", trace.Tanglaw, trace.Usual, "", 2.0),
-		Entry("Tanglaw at 6", trace.Tanglaw, trace.Usual, "", 6.0),
+		Entry("Tanglaw at 2", trace.Tanglaw, trace.Typical, "", 2.0),
+		Entry("Tanglaw at 6", trace.Tanglaw, trace.Typical, "", 6.0),
 		Entry("Tanglaw's shift change", trace.Tanglaw, trace.ShiftBurst, "", 2.0),
-		Entry("Tanglaw with half a zone lost", trace.Tanglaw, trace.Usual, "half-zone", 4.0),
-		Entry("Quebracho at 8", trace.Quebracho, trace.Usual, "", 8.0),
-		Entry("Quebracho with a straggler", trace.Quebracho, trace.Usual, "straggle", 8.0),
+		Entry("Tanglaw with half a zone lost", trace.Tanglaw, trace.Typical, "half-zone", 4.0),
+		Entry("Quebracho at 8", trace.Quebracho, trace.Typical, "", 8.0),
+		Entry("Quebracho with a straggler", trace.Quebracho, trace.Typical, "straggle", 8.0),
 	)
 
 	// The oracle is a clairvoyant dispatcher on the same engine model, without delays.
 	DescribeTable("is nearly reached by an oracle",
 		func(load, top, total float64) {
 			doc := exampleDocument(trace.Tanglaw)
-			t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Scenario: trace.Usual, Seed: 1, Load: load, Seconds: 20})
+			t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Scenario: trace.Typical, Seed: 1, Load: load, Seconds: 20})
 			Expect(err).NotTo(HaveOccurred())
 			good := reached(doc, t, doc.Pools[0].Name)
 			bound := newPoolBound(doc, t, nil, doc.Pools[0].Name)
--- a/internal/replay/sweep/oracle_test.go
+++ b/internal/replay/sweep/oracle_test.go
@@ -176,7 +176,7 @@
 		}
 		best.prefill = at
 		err := best.model.Submit(oracleEpoch.Add(o.now), enginemodel.Job{
-			ID: r.id, PromptTokens: r.line.PromptTokens, MaxTokens: r.line.MaxTokens, HeldPrompt: sharedTokens(r.line),
+			ID: r.id, PromptTokens: r.line.PromptTokens, MaxTokens: r.line.MaxTokens, ImportedPromptTokens: sharedTokens(r.line),
 		})
 		if err != nil {
 			panic(err)
@@ -227,7 +227,7 @@
 }
 
 func measureOracle(b *testing.B, doc *document.Document, deployment trace.Deployment, load float64) {
-	t, err := trace.Generate(doc, trace.Options{Deployment: deployment, Scenario: trace.Usual, Seed: 1, Load: load, Seconds: 60})
+	t, err := trace.Generate(doc, trace.Options{Deployment: deployment, Scenario: trace.Typical, Seed: 1, Load: load, Seconds: 60})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/replay/sweep/sweep_test.go
+++ b/internal/replay/sweep/sweep_test.go
@@ -56,7 +56,7 @@
 	It("runs every load, policy and seed, and computes the bound of an oracle", func() {
 		doc := testDocument()
 		options := Options{
-			Document: doc, Deployment: trace.Tanglaw, Scenario: trace.Usual, Loads: []float64{0.5, 8}, Seeds: []uint64{1, 2},
+			Document: doc, Deployment: trace.Tanglaw, Scenario: trace.Typical, Loads: []float64{0.5, 8}, Seeds: []uint64{1, 2},
 			Policies: []entry.Policy{entry.PolicyIndependent, entry.PolicyShares}, Seconds: 3, Entries: 2, Workers: 2,
 			NewCore: func(cfg entry.Config, _ time.Time) virtual.Core { return &refuser{self: cfg.Self, doc: doc} },
 		}
--- a/internal/replay/trace/generate.go
+++ b/internal/replay/trace/generate.go
@@ -167,7 +167,7 @@
 // addScenario adds the requests of the scenario that are not part of the streams.
 func (g *generator) addScenario(capacity float64) error {
 	switch g.options.Scenario {
-	case Usual, ShiftBurst:
+	case Typical, ShiftBurst:
 		return nil
 	case Flood:
 		return g.addFlood(capacity * FloodFactor)
--- a/internal/replay/trace/trace_test.go
+++ b/internal/replay/trace/trace_test.go
@@ -39,7 +39,7 @@
 }
 
 func usual(d Deployment, load float64) Options {
-	return Options{Deployment: d, Seed: 3, Load: load, Seconds: 60, Scenario: Usual}
+	return Options{Deployment: d, Seed: 3, Load: load, Seconds: 60, Scenario: Typical}
 }
 
 var _ = Describe("a generated trace", func() {
@@ -117,12 +117,12 @@
 		}
 		largest := func(l *Line) bool { return l.Organisation == "north" && l.Kind == Engine }
 		others := func(l *Line) bool { return l.Organisation == "south" && l.Kind == Engine }
-		Expect(count(Flood, Tanglaw, largest)).To(BeNumerically(">", 2*count(Usual, Tanglaw, largest)))
-		Expect(count(Flood, Tanglaw, others)).To(BeNumerically("~", count(Usual, Tanglaw, others), 1))
+		Expect(count(Flood, Tanglaw, largest)).To(BeNumerically(">", 2*count(Typical, Tanglaw, largest)))
+		Expect(count(Flood, Tanglaw, others)).To(BeNumerically("~", count(Typical, Tanglaw, others), 1))
 		shift := func(l *Line) bool { return l.Tier == "attendant" && l.AtMS >= 30000 && l.AtMS < 33000 }
-		Expect(count(ShiftBurst, Tanglaw, shift)).To(BeNumerically(">", 3*count(Usual, Tanglaw, shift)))
+		Expect(count(ShiftBurst, Tanglaw, shift)).To(BeNumerically(">", 3*count(Typical, Tanglaw, shift)))
 		brief := func(l *Line) bool { return l.PromptTokens >= 8000 }
-		Expect(count(BriefsDuringCall, Quebracho, brief)).To(Equal(count(Usual, Quebracho, brief) + callPacks*briefsPerPack))
+		Expect(count(BriefsDuringCall, Quebracho, brief)).To(Equal(count(Typical, Quebracho, brief) + callPacks*briefsPerPack))
 	})
 })
 
--- a/internal/replay/trace/workload.go
+++ b/internal/replay/trace/workload.go
@@ -12,8 +12,8 @@
 type Scenario string
 
 const (
-	// Usual is the typical traffic with the deployment's own bursts.
-	Usual Scenario = "usual"
+	// Typical is the typical traffic with the deployment's own bursts.
+	Typical Scenario = "usual"
 	// Flood adds requests of the first stream at FloodFactor times the total
 	// capacity, all from the largest organisation, during the middle third of the
 	// trace.
--- a/internal/replay/virtual/decisions_test.go
+++ b/internal/replay/virtual/decisions_test.go
@@ -87,7 +87,7 @@
 	if err := json.Unmarshal(data, doc); err != nil {
 		b.Fatal(err)
 	}
-	t, err := trace.Generate(doc, trace.Options{Deployment: deployment, Seed: 1, Load: load, Seconds: 20, Scenario: trace.Usual})
+	t, err := trace.Generate(doc, trace.Options{Deployment: deployment, Seed: 1, Load: load, Seconds: 20, Scenario: trace.Typical})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/replay/virtual/virtual_test.go
+++ b/internal/replay/virtual/virtual_test.go
@@ -134,7 +134,7 @@
 
 func options(f fault, load float64, faults ...Fault) Options {
 	doc := testDocument()
-	t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Seed: 7, Load: load, Seconds: 8, Scenario: trace.Usual})
+	t, err := trace.Generate(doc, trace.Options{Deployment: trace.Tanglaw, Seed: 7, Load: load, Seconds: 8, Scenario: trace.Typical})
 	Expect(err).NotTo(HaveOccurred())
 	return Options{
 		Trace: t, Document: doc, Policy: entry.PolicyIndependent, Entries: 3, Seed: 5, Faults: faults,
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -17,9 +17,9 @@
 	MetricsAddress   string `json:"metrics_address"`
 	// LinksAddress (UDP) is where the process receives datagrams of other entries.
 	LinksAddress string `json:"links_address"`
-	// LinksTold is the address that is announced to other entries. It is set where it
+	// AnnouncedLinksAddress is the address that is announced to other entries. It is set where it
 	// differs from LinksAddress, as behind network address translation.
-	LinksTold string `json:"links_told"`
+	AnnouncedLinksAddress string `json:"links_told"`
 	// StoreAddress is the address of the platform's metadata store.
 	StoreAddress string `json:"store_address"`
 	// MemoryMB is the memory limit of the process.
@@ -84,8 +84,8 @@
 	checkOwnAddress("directory_address", s.DirectoryAddress, faults)
 	checkOwnAddress("ready_address", s.ReadyAddress, faults)
 	checkOwnAddress("links_address", s.LinksAddress, faults)
-	if s.LinksTold != "" {
-		checkAddress("links_told", s.LinksTold, faults)
+	if s.AnnouncedLinksAddress != "" {
+		checkAddress("links_told", s.AnnouncedLinksAddress, faults)
 	}
 	if s.MetricsAddress != "" {
 		checkOwnAddress("metrics_address", s.MetricsAddress, faults)
--- a/internal/standin/base/ledger.go
+++ b/internal/standin/base/ledger.go
@@ -29,10 +29,10 @@
 type LedgerReport struct {
 	Incarnation int   `json:"incarnation"`
 	Runs        []Run `json:"runs"`
-	// TurnedAway is the number of requests rejected because of the faults "leaving"
+	// Rejected is the number of requests rejected because of the faults "leaving"
 	// and "refuse". LastTurnedAwayMS is the time of the last one.
-	TurnedAway       int   `json:"turned_away"`
-	LastTurnedAwayMS int64 `json:"last_turned_away_ms"`
+	Rejected       int   `json:"turned_away"`
+	LastRejectedMS int64 `json:"last_turned_away_ms"`
 }
 
 // Ledger records all runs for use by tests. It is kept across crashes.
@@ -90,7 +90,7 @@
 	defer l.mu.Unlock()
 	return LedgerReport{
 		Incarnation: l.incarnation, Runs: append([]Run{}, l.runs...),
-		TurnedAway: l.rejected, LastTurnedAwayMS: l.lastRejectedMS,
+		Rejected: l.rejected, LastRejectedMS: l.lastRejectedMS,
 	}
 }
 
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -66,6 +66,6 @@
 	if !ok {
 		return
 	}
-	job.HeldPrompt = state.PromptTokens
+	job.ImportedPromptTokens = state.PromptTokens
 	job.FirstIndex = max(0, min(state.Tokens, job.MaxTokens-1))
 }
--- a/internal/standin/enginemodel/model.go
+++ b/internal/standin/enginemodel/model.go
@@ -34,8 +34,8 @@
 	MaxTokens    int
 	// Prefixes has the same meaning as in request.Request.
 	Prefixes []uint64
-	// HeldPrompt is the number of prompt tokens in an imported KV cache.
-	HeldPrompt int
+	// ImportedPromptTokens is the number of prompt tokens in an imported KV cache.
+	ImportedPromptTokens int
 	// FirstIndex is the index of the first token to generate after an import.
 	FirstIndex int
 }
--- a/internal/standin/enginemodel/model_test.go
+++ b/internal/standin/enginemodel/model_test.go
@@ -227,7 +227,7 @@
 
 	It("continues from an imported KV cache without computing the prompt", func() {
 		m := New(Newer())
-		job := Job{ID: "a", PromptTokens: 1000, MaxTokens: 5, HeldPrompt: 1000, FirstIndex: 3}
+		job := Job{ID: "a", PromptTokens: 1000, MaxTokens: 5, ImportedPromptTokens: 1000, FirstIndex: 3}
 		Expect(m.Submit(start, job)).To(Succeed())
 		events := drain(m)
 		Expect(eventsOf(events, Token, "a")).To(HaveLen(2))
--- a/internal/standin/enginemodel/sequence.go
+++ b/internal/standin/enginemodel/sequence.go
@@ -22,7 +22,7 @@
 	job.MaxTokens = max(job.MaxTokens, 1)
 	job.FirstIndex = min(max(job.FirstIndex, 0), job.MaxTokens-1)
 	seq := &sequence{job: job, submitted: now, tokens: job.FirstIndex}
-	seq.countCached(job.HeldPrompt)
+	seq.countCached(job.ImportedPromptTokens)
 	return seq
 }
 
--- a/internal/telemetry/catalogue.go
+++ b/internal/telemetry/catalogue.go
@@ -58,7 +58,7 @@
 	IDsRemembered   = declare(KindGauge, "request_ids_remembered", "Request ids in the bounded memory.")
 	KeysClaimed     = declare(KindGauge, "claims_held", "Claims of idempotency keys known here.")
 	EntriesKnown    = declare(KindGauge, "entries_known", "Entries that callers are told of.")
-	PeersSilent     = declare(KindGauge, "peers_not_linked", "Known peers without a link.")
+	PeersNotLinked  = declare(KindGauge, "peers_not_linked", "Known peers without a link.")
 	TraceLines      = declare(KindCounter, "trace_lines", "Requests written to trace_file.")
 	TraceDropped    = declare(KindCounter, "trace_dropped", "Requests left out of trace_file: its ring or the file was full.")
 )
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -187,8 +187,8 @@
 	m.scopeFor(gauge, values...).Gauge(gauge.Name).Update(reading)
 }
 
-// Total raises a counter to a total that is counted elsewhere.
-func (m *Metrics) Total(counter Metric, total int64, values ...string) {
+// SetTotal raises a counter to a total that is counted elsewhere.
+func (m *Metrics) SetTotal(counter Metric, total int64, values ...string) {
 	key := counter.Name + "\x00" + strings.Join(values, "\x00")
 	m.mutex.Lock()
 	grown := total - m.totals[key]
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -46,8 +46,8 @@
 		m.Settled(Settled{Organisation: "o", Tier: "gate", Status: outcome.Complete(), FirstToken: 20 * time.Millisecond, Total: 2 * time.Second})
 		m.Settled(Settled{Organisation: "o", Tier: "gate", Status: outcome.Refused(outcome.ReasonOverload, 0, "")})
 		m.Set(Ready, 1)
-		m.Total(PeerSent, 5, "offer")
-		m.Total(PeerSent, 7, "offer")
+		m.SetTotal(PeerSent, 5, "offer")
+		m.SetTotal(PeerSent, 7, "offer")
 		page := text(m)
 		for _, line := range []string{
 			"# HELP sycamoretrail_requests_total " + Requests.Help,
