--- a/cmd/sycamore-entry/dataplane.go
+++ b/cmd/sycamore-entry/dataplane.go
@@ -8,8 +8,8 @@
 	"sycamoretrail/internal/core/document"
 	"sycamoretrail/internal/core/entry"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/duty"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/coreloop"
+	"sycamoretrail/internal/inflight"
 	"sycamoretrail/internal/recording"
 	"sycamoretrail/internal/targets"
 	"sycamoretrail/internal/telemetry"
@@ -29,9 +29,9 @@
 // dataPlane holds the components that requests pass through: callers, flights, targets.
 type dataPlane struct {
 	*targets.Targets
-	*flight.Registry
+	*inflight.Registry
 	callers *callers.Server
-	rereads *flight.Registry
+	rereads *inflight.Registry
 	stop    chan struct{}
 }
 
@@ -39,7 +39,7 @@
 // departures of callers and completed orders must not be lost; all other inputs are refused
 // or dropped when the ring is full.
 type coreInputs struct {
-	loop    *duty.Loop[*entry.Entry]
+	loop    *coreloop.Loop[*entry.Entry]
 	targets *targetLog
 }
 
@@ -56,10 +56,10 @@
 }
 
 func newDataPlane(p *process) *dataPlane {
-	registry := flight.Config{MaxOpen: maxOpenFlights, Retain: retainAnswers, RetainBytes: retainBytes}
+	registry := inflight.Config{MaxOpen: maxOpenFlights, Retain: retainAnswers, RetainBytes: retainBytes}
 	d := &dataPlane{
-		Registry: flight.NewRegistry(registry),
-		rereads:  flight.NewRegistry(registry),
+		Registry: inflight.NewRegistry(registry),
+		rereads:  inflight.NewRegistry(registry),
 		stop:     make(chan struct{}),
 	}
 	core := coreInputs{loop: p.loop, targets: newTargetLog(p.logger.WithField("duty", "targets"))}
--- a/cmd/sycamore-entry/inspector.go
+++ b/cmd/sycamore-entry/inspector.go
@@ -11,14 +11,14 @@
 	"sycamoretrail/internal/core/entry"
 	"sycamoretrail/internal/core/ident"
 	"sycamoretrail/internal/core/message"
-	"sycamoretrail/internal/duty"
+	"sycamoretrail/internal/coreloop"
 	"sycamoretrail/internal/operators"
 )
 
 // inspector answers the queries of operators. Each query of the core's state is one read
 // on the core loop.
 type inspector struct {
-	loop  *duty.Loop[*entry.Entry]
+	loop  *coreloop.Loop[*entry.Entry]
 	views *views
 }
 
--- a/cmd/sycamore-entry/process.go
+++ b/cmd/sycamore-entry/process.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 
 	"sycamoretrail/internal/core/entry"
+	"sycamoretrail/internal/coreloop"
 	"sycamoretrail/internal/decisionlog"
-	"sycamoretrail/internal/duty"
 	"sycamoretrail/internal/logclient"
 	"sycamoretrail/internal/operators"
 	"sycamoretrail/internal/peers"
@@ -33,7 +33,7 @@
 	logger    *logrus.Logger
 	metrics   *telemetry.Metrics
 	decisions *decisionlog.Log
-	loop      *duty.Loop[*entry.Entry]
+	loop      *coreloop.Loop[*entry.Entry]
 	log       *logclient.Log
 	instances *logclient.Instances
 	links     *peers.Links
@@ -58,7 +58,7 @@
 		settings: s,
 		logger:   logger,
 		metrics:  telemetry.NewMetrics(s.Name, s.Zone),
-		loop:     duty.NewLoop(entry.New(cfg, time.Now()), time.Now),
+		loop:     coreloop.NewLoop(entry.New(cfg, time.Now()), time.Now),
 		views:    newViews(),
 	}
 	p.decisions = decisionlog.New(logger, time.Now, decisionlog.PerSecond, p.views.tierName)
@@ -83,7 +83,7 @@
 	if p.operators, err = p.newOperators(); err != nil {
 		return nil, err
 	}
-	p.loop.Connect(duty.Edges{
+	p.loop.Connect(coreloop.Edges{
 		Targets:   p.data,
 		Flights:   p.data,
 		Peers:     p.links,
--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -13,12 +13,12 @@
 	"sycamoretrail/internal/core/ident"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 	"sycamoretrail/internal/netconn"
 )
 
 // run submits a checked request and answers its caller.
-func (s *Server) run(c *call, req request.Request, f *flight.Flight) {
+func (s *Server) run(c *call, req request.Request, f *inflight.Flight) {
 	existing, added := s.cfg.Flights.Put(f)
 	if existing == nil {
 		s.refuseError(c.ctx, c, refusedBeforeSubmit(c.ctx, outcome.ReasonEntryFull, "this entry holds as many requests as it can"))
@@ -46,7 +46,7 @@
 type waiter struct {
 	s      *Server
 	ctx    *fasthttp.RequestCtx
-	f      *flight.Flight
+	f      *inflight.Flight
 	stream bool
 	tier   string
 	model  string
@@ -101,7 +101,7 @@
 }
 
 // wait reads the next chunks; while it waits, it polls the caller's connection.
-func (w *waiter) wait(dst [][]byte) (chunks [][]byte, p flight.Progress, gone bool) {
+func (w *waiter) wait(dst [][]byte) (chunks [][]byte, p inflight.Progress, gone bool) {
 	for {
 		chunks, p = w.f.Answer.Read(dst, w.from, w.s.cfg.PollInterval)
 		if len(chunks) > len(dst) || p.End != nil || p.Trimmed {
@@ -115,8 +115,8 @@
 			return dst, p, true
 		}
 		if w.s.cfg.Now().After(w.until) {
-			end := &flight.End{Status: outcome.Undetermined(outcome.ReasonDeadlinePassed, "no final word came by the deadline"), Chunks: p.Next}
-			return dst, flight.Progress{Next: p.Next, Head: p.Head, End: end}, false
+			end := &inflight.End{Status: outcome.Undetermined(outcome.ReasonDeadlinePassed, "no final word came by the deadline"), Chunks: p.Next}
+			return dst, inflight.Progress{Next: p.Next, Head: p.Head, End: end}, false
 		}
 	}
 }
@@ -191,7 +191,7 @@
 
 // refer gives the caller the answer of another request: directly if this entry
 // holds it, else by a redirect to the entry that does.
-func (w *waiter) refer(to *flight.Referral) {
+func (w *waiter) refer(to *inflight.Referral) {
 	w.leave()
 	if to.Flight != nil {
 		other := *w
@@ -207,7 +207,7 @@
 }
 
 // answerComplete waits for the complete answer and sends it as one body.
-func (w *waiter) answerComplete(chunks [][]byte, p flight.Progress) {
+func (w *waiter) answerComplete(chunks [][]byte, p inflight.Progress) {
 	for p.End == nil {
 		var gone bool
 		if chunks, p, gone = w.wait(chunks); gone {
@@ -230,7 +230,7 @@
 }
 
 // writeComplete fills the response with a complete answer.
-func (w *waiter) writeComplete(chunks [][]byte, p flight.Progress) {
+func (w *waiter) writeComplete(chunks [][]byte, p inflight.Progress) {
 	w.setToken()
 	header := &w.ctx.Response.Header
 	header.Set(headerOutcome, string(p.End.Status.Outcome))
@@ -312,7 +312,7 @@
 	e.chunks = chunks[:0]
 	if p.Trimmed {
 		lost := outcome.Undetermined(outcome.ReasonAnswerNotHeld, "the caller fell behind by more than limits.stream_bytes")
-		p.End = &flight.End{Status: lost, Chunks: from}
+		p.End = &inflight.End{Status: lost, Chunks: from}
 	}
 	if p.End != nil {
 		e.end(p.End)
@@ -339,7 +339,7 @@
 	}
 }
 
-func (e *eventWriter) end(end *flight.End) {
+func (e *eventWriter) end(end *inflight.End) {
 	e.ended = true
 	e.buf = append(e.buf, "event: outcome\ndata: "...)
 	e.buf = append(e.buf, endEventData(end)...)
--- a/internal/callers/assemble.go
+++ b/internal/callers/assemble.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sycamoretrail/internal/core/outcome"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // endEvent is the data of the event that ends a streamed answer.
@@ -22,7 +22,7 @@
 	Detail   string          `json:"detail,omitempty"`
 }
 
-func endEventData(end *flight.End) []byte {
+func endEventData(end *inflight.End) []byte {
 	data, err := json.Marshal(endEvent{
 		Outcome: end.Status.Outcome, Reason: end.Status.Reason, Chunks: end.Chunks,
 		Checksum: checksumText(end.Checksum), Detail: end.Status.Detail,
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -20,7 +20,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // Core accepts the inputs of the entry's state machine.
@@ -31,7 +31,7 @@
 
 // Follower reads streams that a target holds; see targets.Targets.Follow.
 type Follower interface {
-	Follow(f *flight.Flight, at flight.Target, ended func(message.Result)) bool
+	Follow(f *inflight.Flight, at inflight.Target, ended func(message.Result)) bool
 }
 
 // Observation holds the measurements of one answered or refused request.
@@ -55,10 +55,10 @@
 	Core Core
 	// View returns the core's latest view; never nil.
 	View    func() *entry.View
-	Flights *flight.Registry
+	Flights *inflight.Registry
 	// Rereads holds streams that other entries dispatched and that are read
 	// here by token. They are separate from the flights of the core's requests.
-	Rereads  *flight.Registry
+	Rereads  *inflight.Registry
 	Follower Follower
 	// TokenKey signs stream tokens. It is the same at every entry.
 	TokenKey []byte
--- a/internal/callers/completion.go
+++ b/internal/callers/completion.go
@@ -8,7 +8,7 @@
 
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 	"sycamoretrail/internal/prompt"
 )
 
@@ -58,7 +58,7 @@
 }
 
 // readCompletion validates a completion and returns its request and its flight.
-func (s *Server) readCompletion(c *call) (request.Request, *flight.Flight, error) {
+func (s *Server) readCompletion(c *call) (request.Request, *inflight.Flight, error) {
 	// The connection reuses its buffer after the handler returns; the flight is used longer.
 	body := append([]byte(nil), c.ctx.PostBody()...)
 	var in completionBody
@@ -176,9 +176,9 @@
 }
 
 // newFlight returns the flight of a validated request.
-func (s *Server) newFlight(c *call, req *request.Request, path string, stream bool, body []byte) *flight.Flight {
+func (s *Server) newFlight(c *call, req *request.Request, path string, stream bool, body []byte) *inflight.Flight {
 	limit := c.view.Document.Limits.StreamBytes
-	return flight.New(&flight.Flight{
+	return inflight.New(&inflight.Flight{
 		ID: req.ID, Organisation: req.Organisation, Fingerprint: req.Fingerprint, Kind: req.Kind,
 		Method: string(c.ctx.Method()), Path: path, Header: forwardedFields(&c.ctx.Request.Header),
 		Stream: stream, PromptTokens: req.PromptTokens, MaxAnswer: limit,
--- a/internal/callers/harness_test.go
+++ b/internal/callers/harness_test.go
@@ -27,7 +27,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 	"sycamoretrail/internal/recording"
 	"sycamoretrail/internal/targets"
 )
@@ -122,7 +122,7 @@
 // node is one entry: both edges with a fake core between them.
 type node struct {
 	core    *fakeCore
-	flights *flight.Registry
+	flights *inflight.Registry
 	targets *targets.Targets
 	address string
 	doc     *document.Document
@@ -179,7 +179,7 @@
 	for _, edit := range edits {
 		edit(n.doc)
 	}
-	n.flights = flight.NewRegistry(flight.Config{MaxOpen: 2000, Retain: time.Minute, RetainBytes: 1 << 20})
+	n.flights = inflight.NewRegistry(inflight.Config{MaxOpen: 2000, Retain: time.Minute, RetainBytes: 1 << 20})
 	n.targets = targets.New(targets.Config{Core: n.core, Flights: n.flights, Log: quiet()})
 	n.core.decide = func(s entry.Submit) {
 		address := engine
@@ -193,7 +193,7 @@
 		Entries: []message.Member{{Name: "a", Zone: "z1", CallerAddress: "1"}, {Name: "b", Zone: "z2", CallerAddress: "2"}}})
 	srv := callers.New(callers.Config{
 		Core: n.core, View: n.view.Load, Flights: n.flights,
-		Rereads:  flight.NewRegistry(flight.Config{MaxOpen: 64, Retain: time.Minute, RetainBytes: 1 << 20}),
+		Rereads:  inflight.NewRegistry(inflight.Config{MaxOpen: 64, Retain: time.Minute, RetainBytes: 1 << 20}),
 		Follower: n.targets, TokenKey: tokenKey, Log: quiet(), PollInterval: 10 * time.Millisecond,
 		Arrived: n.arrived, Observe: n.seen.add,
 	})
--- a/internal/callers/reread.go
+++ b/internal/callers/reread.go
@@ -9,7 +9,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // rereadMethodNotAllowed answers methods other than GET. Some clients keep POST when
@@ -82,7 +82,7 @@
 
 // remote returns the flight of a stream that another entry dispatched, or nil if it
 // has refused the caller.
-func (s *Server) remote(c *call, token streamToken) *flight.Flight {
+func (s *Server) remote(c *call, token streamToken) *inflight.Flight {
 	target := c.ix.targets[token.Target]
 	if target == nil {
 		s.refuse(c.ctx, fasthttp.StatusNotFound, string(token.ID),
@@ -93,7 +93,7 @@
 	if failed := s.cfg.Rereads.Get(token.ID); failed != nil && incomplete(failed.Answer.Ended()) {
 		s.cfg.Rereads.Drop(failed)
 	}
-	f, added := s.cfg.Rereads.Put(flight.New(&flight.Flight{
+	f, added := s.cfg.Rereads.Put(inflight.New(&inflight.Flight{
 		ID: token.ID, Organisation: token.Organisation, Kind: request.Engine, Stream: true, MaxAnswer: limit,
 	}, nil, limit))
 	if f == nil {
@@ -102,7 +102,7 @@
 		return nil
 	}
 	if added {
-		at := flight.Target{Name: token.Target, Address: target.Address, Stream: token.ID}
+		at := inflight.Target{Name: token.Target, Address: target.Address, Stream: token.ID}
 		s.cfg.Follower.Follow(f, at, func(message.Result) {})
 	}
 	return f
@@ -110,6 +110,6 @@
 
 // incomplete reports whether reading a stream ended without the complete answer. The
 // next caller's read starts over, since the target may still hold the stream.
-func incomplete(end *flight.End) bool {
+func incomplete(end *inflight.End) bool {
 	return end != nil && end.Status.Outcome != outcome.Answered
 }
--- a/internal/callers/service.go
+++ b/internal/callers/service.go
@@ -7,7 +7,7 @@
 
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // service forwards a call of a plain service to a target of its pool.
@@ -25,7 +25,7 @@
 	s.run(c, req, f)
 }
 
-func (s *Server) readService(c *call) (request.Request, *flight.Flight, error) {
+func (s *Server) readService(c *call) (request.Request, *inflight.Flight, error) {
 	name, _ := c.ctx.UserValue("service").(string)
 	sv := c.ix.services[name]
 	if sv == nil || !c.org.services[name] {
@@ -75,11 +75,11 @@
 }
 
 // forwardedFields copies the header fields that are forwarded to the target.
-func forwardedFields(header *fasthttp.RequestHeader) []flight.Field {
-	var fields []flight.Field
+func forwardedFields(header *fasthttp.RequestHeader) []inflight.Field {
+	var fields []inflight.Field
 	for name, value := range header.All() {
 		if !fieldsNotForwarded[string(name)] {
-			fields = append(fields, flight.Field{Name: string(name), Value: string(value)})
+			fields = append(fields, inflight.Field{Name: string(name), Value: string(value)})
 		}
 	}
 	return fields
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -18,10 +18,10 @@
 	"sycamoretrail/internal/core/orders"
 	"sycamoretrail/internal/core/owner"
 	"sycamoretrail/internal/core/placement"
+	"sycamoretrail/internal/core/quarantine"
 	"sycamoretrail/internal/core/record"
 	"sycamoretrail/internal/core/routing"
 	"sycamoretrail/internal/core/scheduler"
-	"sycamoretrail/internal/core/suspects"
 )
 
 // Policy selects how request slots at targets are allocated.
@@ -82,7 +82,7 @@
 	shareScheduler *scheduler.Scheduler
 	router         *routing.Router
 	claims         *claims.Coordinator
-	suspects       *suspects.Suspects
+	suspects       *quarantine.Suspects
 	orders         *orders.Orders
 	drain          *drain.Drain
 
@@ -138,7 +138,7 @@
 		timing:          startingTiming,
 		accepted:        acceptance.New(),
 		router:          routing.New(cfg.Seed, cfg.Self.Zone),
-		suspects:        suspects.New(suspects.Config{}),
+		suspects:        quarantine.New(quarantine.Config{}),
 		plan:            placement.NewPlan(),
 		orders:          orders.New(orders.DefaultConfig(cfg.Self.Incarnation)),
 		flights:         make(map[ident.RequestID]*flight),
--- a/internal/core/entry/placing.go
+++ b/internal/core/entry/placing.go
@@ -5,8 +5,8 @@
 
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
+	"sycamoretrail/internal/core/quarantine"
 	"sycamoretrail/internal/core/routing"
-	"sycamoretrail/internal/core/suspects"
 )
 
 const (
@@ -156,7 +156,7 @@
 		PromptTokens: f.req.PromptTokens, MaxTokens: f.req.MaxTokens,
 		Idempotent: f.req.Idempotent || !e.enabled(guardRepeat), Fingerprint: f.req.Fingerprint,
 		Remaining: f.req.Deadline.Sub(e.now),
-		Isolated:  e.suspects.Check(e.now, f.req.Fingerprint) == suspects.Suspect,
+		Isolated:  e.suspects.Check(e.now, f.req.Fingerprint) == quarantine.Suspect,
 		Final:     f.final && !f.onShare,
 	}
 	if !f.req.FirstTokenBy.IsZero() {
--- a/internal/core/entry/platform.go
+++ b/internal/core/entry/platform.go
@@ -4,8 +4,8 @@
 	"sycamoretrail/internal/core/membership"
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/orders"
+	"sycamoretrail/internal/core/quarantine"
 	"sycamoretrail/internal/core/record"
-	"sycamoretrail/internal/core/suspects"
 )
 
 // appendSource identifies the component that an append belongs to.
@@ -151,7 +151,7 @@
 }
 
 // performSuspects shares findings about requests that crash targets.
-func (e *Entry) performSuspects(effects []suspects.Effect) {
+func (e *Entry) performSuspects(effects []quarantine.Effect) {
 	for _, effect := range effects {
 		if effect.Share != nil {
 			e.broadcast(*effect.Share)
--- a/internal/core/entry/requests.go
+++ b/internal/core/entry/requests.go
@@ -7,8 +7,8 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/owner"
+	"sycamoretrail/internal/core/quarantine"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/core/suspects"
 )
 
 const (
@@ -135,7 +135,7 @@
 	if !e.now.Before(req.Deadline) {
 		return outcome.Refused(outcome.ReasonDeadlinePassed, 0, "the deadline has passed"), false
 	}
-	if e.suspects.Check(e.now, req.Fingerprint) == suspects.Quarantined {
+	if e.suspects.Check(e.now, req.Fingerprint) == quarantine.Quarantined {
 		return outcome.Refused(outcome.ReasonQuarantined, 0, "targets died each time that they ran this request"), false
 	}
 	if limit := e.organisationLimit(req.Organisation); limit > 0 && e.perOrganisation[req.Organisation] >= limit {
--- a/internal/core/suspects/memory.go
+++ b/internal/core/quarantine/memory.go
@@ -1,4 +1,4 @@
-package suspects
+package quarantine
 
 import (
 	"container/list"
--- a/internal/core/suspects/suspects.go
+++ b/internal/core/quarantine/quarantine.go
@@ -1,4 +1,4 @@
-// Package suspects detects requests that crash the targets that run them, based on what
+// Package quarantine detects requests that crash the targets that run them, based on what
 // was in flight when targets crashed, and recognises them when they are sent again
 // under other ids.
 //
@@ -9,7 +9,7 @@
 // Invariants: a crash counts once for a fingerprint, whoever reports it and however
 // often; a quarantine is not ended before its time, not even for lack of memory; memory
 // is bounded.
-package suspects
+package quarantine
 
 import (
 	"container/list"
--- a/internal/core/suspects/suspects_suite_test.go
+++ b/internal/core/quarantine/suspects_suite_test.go
@@ -1,4 +1,4 @@
-package suspects_test
+package quarantine_test
 
 import (
 	"testing"
--- a/internal/core/register/register.go
+++ b/internal/core/registry/registry.go
@@ -1,10 +1,10 @@
-// Package register holds the registered targets. A target whose registration is removed
+// Package registry holds the registered targets. A target whose registration is removed
 // is dropped, except after an outage of the store: registrations expire during the outage,
 // and a running target renews its own soon afterwards. Until then the target is kept, since
 // an outage of the store would otherwise remove all targets.
 //
 // Time is an argument. A Register is not safe for concurrent use.
-package register
+package registry
 
 import (
 	"slices"
--- a/internal/core/register/register_test.go
+++ b/internal/core/registry/registry_test.go
@@ -1,4 +1,4 @@
-package register_test
+package registry_test
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	. "github.com/onsi/gomega"
 
 	"sycamoretrail/internal/core/catalog"
-	"sycamoretrail/internal/core/register"
+	"sycamoretrail/internal/core/registry"
 )
 
 var now = time.Unix(1_000_000, 0)
 
-func filled(n int) *register.Register {
-	r := register.New()
+func filled(n int) *registry.Register {
+	r := registry.New()
 	for i := range n {
 		r.Put(catalog.Target{ID: fmt.Sprintf("t-%d", i), Address: "10.0.0.1:80"})
 	}
@@ -76,7 +76,7 @@
 // would restore an address where nothing runs, or a drain that has ended.
 func TestRegistrationOfEarlierStartIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	r := register.New()
+	r := registry.New()
 	previous := catalog.Target{ID: "t-0", StartedMS: 1000, Address: "10.0.0.1:80", Leaving: true}
 	current := catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"}
 	undeclared := catalog.Target{ID: "t-0", Address: "10.0.0.3:80"}
@@ -90,7 +90,7 @@
 // The later process has ended too when the registration of the previous one is read again.
 func TestRegistrationOfEarlierStartIsIgnoredAfterDrop(t *testing.T) {
 	g := NewWithT(t)
-	r := register.New()
+	r := registry.New()
 	r.Put(catalog.Target{ID: "t-0", StartedMS: 2000, Address: "10.0.0.2:80"})
 	r.Drop(now, "t-0", time.Time{})
 	g.Expect(r.Put(catalog.Target{ID: "t-0", StartedMS: 1000, Address: "10.0.0.1:80"})).To(BeFalse())
@@ -101,7 +101,7 @@
 // New ids appear over months. What is remembered of ended ones is bounded.
 func TestRememberedStartsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	r := register.New()
+	r := registry.New()
 	for i := range 5000 {
 		id := fmt.Sprintf("t-%d", i)
 		r.Put(catalog.Target{ID: id, StartedMS: 2000})
@@ -115,7 +115,7 @@
 // again as ready, expire during an outage of the store, or arrive late.
 func TestAnnouncedDepartureLasts(t *testing.T) {
 	g := NewWithT(t)
-	r := register.New()
+	r := registry.New()
 	target := catalog.Target{ID: "t-1", Service: "desk", Slots: 4, StartedMS: 5}
 	r.Put(target)
 	g.Expect(r.MarkLeaving(target)).To(BeTrue())
--- a/internal/core/scheduler/capacity.go
+++ b/internal/core/scheduler/capacity.go
@@ -1,15 +1,15 @@
 package scheduler
 
 import (
-	"sycamoretrail/internal/core/floors"
 	"sycamoretrail/internal/core/ident"
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/request"
+	"sycamoretrail/internal/core/tierfloor"
 )
 
 type (
 	identity       = ident.Incarnation
-	exchangeResult = floors.Result
+	exchangeResult = tierfloor.Result
 )
 
 // capacityKind is how a target could accept a request, the best kind last.
@@ -55,14 +55,14 @@
 
 // ownCandidate returns the cheapest run of this scheduler's targets that could be
 // cancelled for an offer, at the target where it waits or at another.
-func (s *Scheduler) ownCandidate(o *offer) floors.Candidate {
-	var own floors.Candidate
+func (s *Scheduler) ownCandidate(o *offer) tierfloor.Candidate {
+	var own tierfloor.Candidate
 	if best, cost := s.findCapacity(o.target.desc.Pool, o.current(s.now), o.target, capacityByPreemption); best != nil {
-		own = floors.Candidate{Target: best.desc.Name, Cost: cost}
+		own = tierfloor.Candidate{Target: best.desc.Name, Cost: cost}
 	}
 	if r := s.victimFor(o); r != nil && s.mayPreemptHere(o) {
 		if cost := 1 + o.target.computedTokens(r); own.Target == "" || cost <= own.Cost {
-			own = floors.Candidate{Target: o.target.desc.Name, Cost: cost}
+			own = tierfloor.Candidate{Target: o.target.desc.Name, Cost: cost}
 		}
 	}
 	return own
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -36,11 +36,11 @@
 	"slices"
 	"time"
 
-	"sycamoretrail/internal/core/floors"
 	"sycamoretrail/internal/core/ident"
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
+	"sycamoretrail/internal/core/tierfloor"
 )
 
 // Settings are the scheduling rules of the document in force.
@@ -119,7 +119,7 @@
 	quorum      bool
 	targets     map[string]*target
 	pools       map[string][]*target // each sorted by name
-	floors      *floors.Floors
+	floors      *tierfloor.Floors
 	held        map[heldKey]*heldGroup
 	heldKeys    []heldKey // sorted
 	timers      timers
@@ -142,7 +142,7 @@
 		quorum:          true,
 		targets:         make(map[string]*target),
 		pools:           make(map[string][]*target),
-		floors:          floors.New(),
+		floors:          tierfloor.New(),
 		held:            make(map[heldKey]*heldGroup),
 		timers:          newTimers(),
 		fullReports:     make(fullReportBuffer),
--- a/internal/core/floors/pool.go
+++ b/internal/core/tierfloor/pool.go
@@ -1,4 +1,4 @@
-package floors
+package tierfloor
 
 import (
 	"slices"
--- a/internal/core/floors/floors.go
+++ b/internal/core/tierfloor/tierfloor.go
@@ -1,4 +1,4 @@
-// Package floors implements the exchange between the schedulers of a pool
+// Package tierfloor implements the exchange between the schedulers of a pool
 // before one of them refuses a request for lack of capacity.
 //
 // A tier floor at tier t means that nothing below t is admitted in the pool. The
@@ -18,7 +18,7 @@
 // lost contact with half or more of the members admits only the top tier after
 // the same timeout, by its own clock. The requester waits a margin longer, since
 // clocks run at different rates.
-package floors
+package tierfloor
 
 import (
 	"slices"
--- a/internal/duty/loop_test.go
+++ b/internal/coreloop/loop_test.go
@@ -1,4 +1,4 @@
-package duty
+package coreloop
 
 import (
 	"context"
--- a/internal/duty/ring.go
+++ b/internal/coreloop/ring.go
@@ -1,6 +1,6 @@
-// Package duty runs the core loop of an entry and connects it to the entry's other
+// Package coreloop runs the core loop of an entry and connects it to the entry's other
 // goroutines through a bounded ring.
-package duty
+package coreloop
 
 // Ring is a bounded FIFO queue between goroutines. A part of it is reserved for items
 // that must not be lost: TryPush fails while Push still finds capacity. Both kinds of
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sycamoretrail/internal/core/catalog"
-	"sycamoretrail/internal/core/register"
+	"sycamoretrail/internal/core/registry"
 	"sycamoretrail/internal/eventlog"
 	"sycamoretrail/internal/feed"
 	"sycamoretrail/internal/settings"
@@ -42,7 +42,7 @@
 	// storeDisconnected is set, by topic, while the store cannot be read.
 	storeDisconnected [feed.Entries]atomic.Bool
 	mutex             sync.Mutex
-	register          *register.Register
+	register          *registry.Register
 	addresses         map[string]bool
 	// pendingLines holds the log lines of changes that are not in force yet.
 	pendingLines []eventlog.Fields
@@ -59,7 +59,7 @@
 }
 
 func newFeeds(g *Gateway) *feeds {
-	f := &feeds{gateway: g, register: register.New(), entriesDue: make(chan struct{}, 1)}
+	f := &feeds{gateway: g, register: registry.New(), entriesDue: make(chan struct{}, 1)}
 	drain := settings.Milliseconds(g.settings.Bounds.DrainMS)
 	apply := settings.Milliseconds(g.settings.Bounds.ConfigurationMS)
 	f.operators = feed.NewFollower(feed.Config{
--- a/internal/flight/flight.go
+++ b/internal/inflight/flight.go
@@ -1,7 +1,7 @@
-// Package flight holds the requests in flight at the edges of one entry: the
+// Package inflight holds the requests in flight at the edges of one entry: the
 // request to send to a target, and the answer as it arrives, for any number of
 // readers. The core refers to a request by its id only; the bytes are held here.
-package flight
+package inflight
 
 import (
 	"sync"
--- a/internal/flight/seed_test.go
+++ b/internal/inflight/seed_test.go
@@ -1,4 +1,4 @@
-package flight
+package inflight
 
 import (
 	"flag"
--- a/internal/targets/run.go
+++ b/internal/targets/run.go
@@ -15,7 +15,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // Header fields of the protocol with targets.
@@ -38,7 +38,7 @@
 // run is one request at one target.
 type run struct {
 	t        *Targets
-	f        *flight.Flight
+	f        *inflight.Flight
 	target   string
 	address  string
 	kind     request.Kind
@@ -197,7 +197,7 @@
 // receive reads an answer from its head to its end.
 func (r *run) receive(resp *fasthttp.Response) error {
 	if r.kind == request.Engine && isEventStream(resp) {
-		r.f.Answer.Begin(flight.Head{Status: resp.StatusCode(), ContentType: eventStreamType, Events: true})
+		r.f.Answer.Begin(inflight.Head{Status: resp.StatusCode(), ContentType: eventStreamType, Events: true})
 		err := r.readEvents(resp)
 		if err == nil || errors.Is(err, errEnded) {
 			return err
@@ -264,11 +264,11 @@
 	"X-Outcome": true, "X-Reason": true, "X-Checksum": true, "X-Stream-Token": true,
 }
 
-func headOf(resp *fasthttp.Response) flight.Head {
-	head := flight.Head{Status: resp.StatusCode(), ContentType: string(resp.Header.ContentType())}
+func headOf(resp *fasthttp.Response) inflight.Head {
+	head := inflight.Head{Status: resp.StatusCode(), ContentType: string(resp.Header.ContentType())}
 	for name, value := range resp.Header.All() {
 		if !hopByHop[string(name)] {
-			head.Fields = append(head.Fields, flight.Field{Name: string(name), Value: string(value)})
+			head.Fields = append(head.Fields, inflight.Field{Name: string(name), Value: string(value)})
 		}
 	}
 	return head
--- a/internal/targets/stream.go
+++ b/internal/targets/stream.go
@@ -14,7 +14,7 @@
 	"sycamoretrail/internal/core/ident"
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 var (
@@ -50,7 +50,7 @@
 func (s *streamState) restart() { s.nextID, s.unnumbered = 0, 0 }
 
 // sample returns the speed of the target as measured on the run.
-func (s *streamState) sample(f *flight.Flight) message.Sample {
+func (s *streamState) sample(f *inflight.Flight) message.Sample {
 	sample := message.Sample{PromptTokens: f.PromptTokens, FirstToken: s.first, Tokens: s.events}
 	if s.events > 1 {
 		sample.StepTime = (s.last - s.first) / time.Duration(s.events-1)
@@ -149,7 +149,7 @@
 }
 
 func (r *run) append(index int, data []byte) error {
-	if r.f.Answer.Append(index, data) == flight.Refused {
+	if r.f.Answer.Append(index, data) == inflight.Refused {
 		return errEnded
 	}
 	return nil
@@ -230,7 +230,7 @@
 		return fmt.Errorf("%w: the resumption was answered with status %d", errBroken, resp.StatusCode())
 	}
 	r.answered.Store(true)
-	r.f.Answer.Begin(flight.Head{Status: fasthttp.StatusOK, ContentType: eventStreamType, Events: true})
+	r.f.Answer.Begin(inflight.Head{Status: fasthttp.StatusOK, ContentType: eventStreamType, Events: true})
 	return r.readEvents(resp)
 }
 
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -16,7 +16,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 // Core accepts inputs of the entry's state machine.
@@ -28,7 +28,7 @@
 // Config configures Targets. Zero fields get defaults.
 type Config struct {
 	Core    Core
-	Flights *flight.Registry
+	Flights *inflight.Registry
 	Log     *logrus.Logger
 
 	// MaxRuns bounds the requests running at targets, and thereby the goroutines.
@@ -160,7 +160,7 @@
 		t.reportNotSent(d.ID)
 		return
 	}
-	f.SetTarget(flight.Target{Name: d.Target, Address: d.Address, Stream: d.ID})
+	f.SetTarget(inflight.Target{Name: d.Target, Address: d.Address, Stream: d.ID})
 	r := &run{
 		t: t, f: f, stream: streamState{id: d.ID}, target: d.Target, address: d.Address,
 		deadline: d.Deadline, notAfter: d.NotAfter, kind: d.Kind,
@@ -174,7 +174,7 @@
 // stream ends the answer at this entry and is reported to the core by a RunEnded.
 func (t *Targets) Attach(a entry.Attach) {
 	if f := t.cfg.Flights.Get(a.ID); f != nil {
-		at := flight.Target{Name: a.Target, Address: a.Address, Stream: a.Of}
+		at := inflight.Target{Name: a.Target, Address: a.Address, Stream: a.Of}
 		t.Follow(f, at, func(result message.Result) {
 			t.outbox.put(entry.RunEnded{ID: a.ID, Result: result, Wrote: true})
 		})
@@ -183,7 +183,7 @@
 
 // Follow reads the stream of a flight at its target from the first token on. It returns
 // true if it has started, or if the stream is already being followed.
-func (t *Targets) Follow(f *flight.Flight, at flight.Target, ended func(message.Result)) bool {
+func (t *Targets) Follow(f *inflight.Flight, at inflight.Target, ended func(message.Result)) bool {
 	if !f.Follow() {
 		return true
 	}
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -22,7 +22,7 @@
 	"sycamoretrail/internal/core/message"
 	"sycamoretrail/internal/core/outcome"
 	"sycamoretrail/internal/core/request"
-	"sycamoretrail/internal/flight"
+	"sycamoretrail/internal/inflight"
 )
 
 func TestTargets(t *testing.T) {
@@ -93,11 +93,11 @@
 
 var _ = Describe("Targets", func() {
 	var core *fakeCore
-	var flights *flight.Registry
+	var flights *inflight.Registry
 	var t *Targets
 	start := func(cfg Config) {
 		core = &fakeCore{}
-		flights = flight.NewRegistry(flight.Config{MaxOpen: 16, Retain: time.Minute, RetainBytes: 1 << 20})
+		flights = inflight.NewRegistry(inflight.Config{MaxOpen: 16, Retain: time.Minute, RetainBytes: 1 << 20})
 		cfg.Core, cfg.Flights, cfg.Log = core, flights, discardLogger()
 		t = New(cfg)
 	}
@@ -109,8 +109,8 @@
 		DeferCleanup(func() { _ = srv.Shutdown() })
 		return ln.Addr().String()
 	}
-	add := func(id ident.RequestID, kind request.Kind) *flight.Flight {
-		f, _ := flights.Put(flight.New(&flight.Flight{ID: id, Kind: kind, Method: "POST", Path: "/v1/completions", Stream: true}, []byte("{}"), 1<<20))
+	add := func(id ident.RequestID, kind request.Kind) *inflight.Flight {
+		f, _ := flights.Put(inflight.New(&inflight.Flight{ID: id, Kind: kind, Method: "POST", Path: "/v1/completions", Stream: true}, []byte("{}"), 1<<20))
 		return f
 	}
 	dispatch := func(id ident.RequestID, address string, within time.Duration) {
