--- a/internal/core/quota/bench_test.go
+++ b/internal/core/quota/bench_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// BenchmarkPressing measures the additional cost of each heartbeat.
-func BenchmarkPressing(b *testing.B) {
+// BenchmarkNearLimit measures the additional cost of each heartbeat.
+func BenchmarkNearLimit(b *testing.B) {
 	for _, entries := range entryCounts {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			limiter, now := newBenchLimiter(entries)
--- a/internal/core/quota/randomfaults_test.go
+++ b/internal/core/quota/randomfaults_test.go
@@ -16,7 +16,7 @@
 // there are six entries, for which the share of one entry is largest.
 const (
 	heartbeatInterval = 250 * time.Millisecond
-	heartbeatTimeout  = 900 * time.Millisecond
+	failureTimeout    = 900 * time.Millisecond
 	recordInterval    = 400 * time.Millisecond
 	// maxQueueTime is the longest time that a request waits before it is sent or
 	// refused.
@@ -89,7 +89,7 @@
 		if found {
 			started = other.started
 		}
-		peers = append(peers, quota.Peer{Name: fmt.Sprint(j), Started: started, Unresponsive: !found || s.now.Sub(last) >= heartbeatTimeout})
+		peers = append(peers, quota.Peer{Name: fmt.Sprint(j), Started: started, Unresponsive: !found || s.now.Sub(last) >= failureTimeout})
 	}
 	s.entries[i].limiter.SetPeers(s.now, peers)
 }
@@ -143,7 +143,7 @@
 			continue
 		}
 		if heartbeatDue {
-			joined := other.incarnations[i] != r || s.now.Sub(other.lastHeartbeats[i]) >= heartbeatTimeout
+			joined := other.incarnations[i] != r || s.now.Sub(other.lastHeartbeats[i]) >= failureTimeout
 			if joined && !s.blocked[j][i] {
 				r.limiter.PeerHistory(s.now, other.limiter.History(s.now))
 			}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -115,7 +115,7 @@
 		return entryStopping
 	}
 	c.service = route.Service(float64(maphash.String(splitSeed, envelope.ID)%1000) / 1000)
-	c.fingerprint = c.formFingerprint()
+	c.fingerprint = c.computeFingerprint()
 	if c.gateway.state.quarantined(c.fingerprint) {
 		return crashesTargets
 	}
@@ -187,9 +187,9 @@
 	c.expires = c.arrived.Add(limit)
 }
 
-// formFingerprint returns a hash of what repeated attempts of one request have in common:
+// computeFingerprint returns a hash of what repeated attempts of one request have in common:
 // organisation, request URI and body.
-func (c *call) formFingerprint() crashes.Fingerprint {
+func (c *call) computeFingerprint() crashes.Fingerprint {
 	digest := xxhash.New()
 	for _, part := range [][]byte{[]byte(c.organisation), c.ctx.Request.Header.RequestURI(), c.ctx.Request.Body()} {
 		_, _ = digest.Write(part)
