--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -132,13 +132,13 @@
 }
 
 const (
-	// callerGoneAttempts bounds the attempts to submit CallerGone to the core.
+	// callerGoneAttempts bounds the attempts to submit CallerLeft to the core.
 	callerGoneAttempts   = 100
 	callerGoneRetryPause = 20 * time.Millisecond
 )
 
 // leave removes the caller from the flight's readers; when it was the last one, the
-// core receives CallerGone.
+// core receives CallerLeft.
 func (w *waiter) leave() {
 	if w.left {
 		return
--- a/internal/core/entry/inspect.go
+++ b/internal/core/entry/inspect.go
@@ -43,8 +43,8 @@
 	Scheduler               ident.Incarnation
 	SchedulerName           string
 	// Here is true if this entry schedules the target; then View is exact.
-	// Otherwise Digest is the latest one that the scheduler sent, and Heard is
-	// true if there is one.
+	// Otherwise Digest is the latest one that the scheduler sent, and
+	// HasDigest is true if there is one.
 	Here      bool
 	View      scheduler.TargetView
 	Digest    message.Digest
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -25,8 +25,8 @@
 	"sycamoretrail/internal/core/message"
 )
 
-// Config sets the intervals. Heartbeat and Silence apply to up to ScaleMembers
-// members and grow in steps beyond, by a factor of ceil(members / ScaleMembers).
+// Config sets the intervals. Heartbeat and FailureTimeout apply to up to
+// ScaleMembers members and grow in steps beyond, by a factor of ceil(members / ScaleMembers).
 type Config struct {
 	// Heartbeat is the time between heartbeats to one peer.
 	Heartbeat time.Duration
--- a/internal/core/scheduler/offer.go
+++ b/internal/core/scheduler/offer.go
@@ -90,7 +90,7 @@
 	return m
 }
 
-// Offer accepts a new offer, or refreshes a known one that has a newer Ask. The
+// Offer accepts a new offer, or refreshes a known one that has a newer Seq. The
 // answer is an immediate Grant, Queued or Refuse.
 func (s *Scheduler) Offer(now time.Time, from ident.Incarnation, m message.Offer) []Effect {
 	s.advance(now)
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package scheduler assigns the slots of the targets that this entry
 // schedules: it queues offers, grants slots, displaces and preempts work of
 // lower tiers for higher ones, and refuses requests for lack of capacity only
-// under a tier floor (the lowest tier that a pool admits; see package floors).
+// under a tier floor (the lowest tier that a pool admits; see package tierfloor).
 //
 // Invariants, each with the failure that it prevents:
 //
@@ -17,12 +17,12 @@
 //   - A preempted slot is reassigned only when Done arrives. Granting at once
 //     would put two requests into one slot of the engine, whose own queue has no
 //     tiers.
-//   - Tier t is refused for load with Settled only while a floor at t or above
+//   - Tier t is refused for load with PoolWide only while a floor at t or above
 //     is in force at every scheduler of the pool and no lower work is left that
 //     could free a slot. A local check is not enough: another scheduler may be
 //     running tier 3.
 //   - A promise to another scheduler does not settle this scheduler's refusals:
-//     the requester may have received Room from a third scheduler, which then
+//     the requester may have received a FreeTarget from a third scheduler, which then
 //     still serves lower work.
 //   - After a takeover nothing is granted until the owners' reports have arrived
 //     or the wait has passed, and only the top tier until a floor that the
--- a/internal/core/scheduler/slots_test.go
+++ b/internal/core/scheduler/slots_test.go
@@ -61,7 +61,7 @@
 a offer r2 t prompt=9000 first=5s final => refuse r2 deadline_cannot_be_met settled
 a offer r3 t for=0s => refuse r3 deadline_passed settled`),
 		// The owner's refresh crosses the grant on the network. It receives a grant
-		// for the newer Ask, and the slot is counted once.
+		// for the newer Seq, and the slot is counted once.
 		Entry("grants again on a refresh that crossed the grant", `
 a offer r1 t => grant r1
 a offer r1 t => grant r1
--- a/internal/core/scheduler/view.go
+++ b/internal/core/scheduler/view.go
@@ -65,7 +65,7 @@
 	Queued  []int
 	Held    int
 	Prefill int
-	// Floor is the lowest tier admitted, or floors.NoFloor.
+	// Floor is the lowest tier admitted, or tierfloor.NoFloor.
 	Floor request.Tier
 	Wait  time.Duration
 }
--- a/internal/coreloop/loop.go
+++ b/internal/coreloop/loop.go
@@ -107,7 +107,7 @@
 // to it.
 func (l *Loop[C]) Connect(edges Edges) { l.edges = edges }
 
-// Deliver queues an input that must not be lost (RunEnded, CallerGone, records of the
+// Deliver queues an input that must not be lost (RunEnded, CallerLeft, records of the
 // log, messages of peers) and waits for capacity: a lost RunEnded would occupy a slot at
 // its target until the entry is replaced. Meanwhile the producer does not read from its
 // source (a TCP connection), which bounds the backlog.
--- a/internal/coreloop/ring.go
+++ b/internal/coreloop/ring.go
@@ -3,8 +3,8 @@
 package coreloop
 
 // Ring is a bounded FIFO queue between goroutines. A part of it is reserved for items
-// that must not be lost: TryPush fails while Push still finds capacity. Both kinds of
-// items share one queue, so that a CallerGone never overtakes the Submit that it belongs
+// that must not be lost: TryPush fails while Push still has capacity. Both kinds of
+// items share one queue, so that a CallerLeft never overtakes the Submit that it belongs
 // to, which could happen with two queues.
 type Ring[T any] struct {
 	items      chan T
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -43,7 +43,7 @@
 	// to the cell.
 	heartbeatDue chan struct{}
 	announcing   atomic.Bool
-	// heartbeatCount counts heartbeats, from a start that differs by entry; see peerset.Set.Probed.
+	// heartbeatCount counts heartbeats, from a start that differs by entry; see peerset.Set.NextProbe.
 	heartbeatCount int
 	// cells is the division of entries into cells, as last updated at cellsAt; cellsDue: an
 	// update is scheduled.
--- a/internal/operators/api/api.go
+++ b/internal/operators/api/api.go
@@ -52,8 +52,8 @@
 	State    string `json:"state"`
 	Version  int64  `json:"version"`
 	InFlight int    `json:"in_flight"`
-	// Linked reports whether a link is open. SilentMS is the time since the last
-	// heartbeat.
+	// Linked reports whether a link is open. SinceHeartbeatMS is the time since
+	// the last heartbeat.
 	Linked           bool  `json:"linked"`
 	SinceHeartbeatMS int64 `json:"silent_ms"`
 }
--- a/internal/replay/virtual/flight.go
+++ b/internal/replay/virtual/flight.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// removeWaiter removes a caller and reports CallerGone to the core after the last one.
+// removeWaiter removes a caller and reports CallerLeft to the core after the last one.
 func (f *flight) removeWaiter(a *attempt) {
 	f.waiters = slices.DeleteFunc(f.waiters, func(other *attempt) bool { return other == a })
 	if len(f.waiters) == 0 && f.status == nil {
--- a/internal/standin/base/ledger.go
+++ b/internal/standin/base/ledger.go
@@ -30,7 +30,7 @@
 	Incarnation int   `json:"incarnation"`
 	Runs        []Run `json:"runs"`
 	// Rejected is the number of requests rejected because of the faults "leaving"
-	// and "refuse". LastTurnedAwayMS is the time of the last one.
+	// and "refuse". LastRejectedMS is the time of the last one.
 	Rejected       int   `json:"turned_away"`
 	LastRejectedMS int64 `json:"last_turned_away_ms"`
 }
