--- a/internal/core/dispatch/dispatch.go
+++ b/internal/core/dispatch/dispatch.go
@@ -167,7 +167,7 @@
 	samples []Sample
 	// cell is the index of this entry's cell out of cells; see SetCell.
 	cell, cells int
-	// departed holds the declarations of targets that have left the register.
+	// departed holds the declarations of targets that have left the registry.
 	departed *bounded.Map[declarations]
 }
 
--- a/internal/core/dispatch/target.go
+++ b/internal/core/dispatch/target.go
@@ -57,7 +57,7 @@
 	ejectionMax = 2 * time.Second
 	// rejectionPause lets a full target finish some requests before the next attempt.
 	rejectionPause = 60 * time.Millisecond
-	// replacedPause covers the time until the register reflects the change.
+	// replacedPause covers the time until the registry reflects the change.
 	replacedPause = time.Minute
 	// minSlowness and maxSlowness bound the ratio to the pool's mean, so that a few
 	// outliers neither flood nor starve a target.
--- a/internal/core/dispatch/unresponsive_test.go
+++ b/internal/core/dispatch/unresponsive_test.go
@@ -108,7 +108,7 @@
 // One of five servers stops answering for seven seconds while it passes its health
 // check. Each request sent there is lost. The entries that detect it report it to the
 // others, and it gets a single request now and then until it answers again. Entries
-// that each have to detect it alone, again and again, lose 40.
+// that each have to detect it on their own, again and again, lose 40.
 func TestUnresponsiveTargetIsReportedToCell(t *testing.T) {
 	g := NewWithT(t)
 	c := newCellLoad()
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -24,7 +24,7 @@
 // some hundred restarts a day are typical, and old registrations arrive late by seconds.
 const maxRemembered = 4096
 
-// Register holds targets by id.
+// Register is a registry of targets by id.
 type Register struct {
 	targets map[string]catalog.Target
 	// started is the latest known start of each id, including ids that have ended.
@@ -40,7 +40,7 @@
 	restoredEnd int64
 }
 
-// New returns an empty register.
+// New returns an empty registry.
 func New() *Register {
 	return &Register{
 		targets: make(map[string]catalog.Target), expiring: make(map[string]time.Time),
@@ -49,7 +49,7 @@
 	}
 }
 
-// Put records a target's registration and reports whether it changed the register. A
+// Put records a target's registration and reports whether it changed the registry. A
 // registration of an earlier start than the latest known one is outdated, in whatever order
 // snapshots, followed records and updates of other entries arrive: if it were applied,
 // requests would go to a process that has ended, with the measurements of that process.
@@ -70,7 +70,7 @@
 }
 
 // MarkLeaving records a target's announcement that it leaves, which no registration revokes:
-// during an outage of the store the register shows the target as ready. It reports whether
+// during an outage of the store the registry shows the target as ready. It reports whether
 // the announcement is new.
 func (r *Register) MarkLeaving(target catalog.Target) bool {
 	incarnation := target.Incarnation()
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -111,7 +111,7 @@
 	g.Expect(r.Put(catalog.Target{ID: "t-4999", StartedMS: 1000})).To(BeFalse())
 }
 
-// Guards against a leaving target that the register restores: its registration may be written
+// Guards against a leaving target that the registry restores: its registration may be written
 // again as ready, expire during an outage of the store, or arrive late.
 func TestAnnouncedDepartureLasts(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/ctl/publish_test.go
+++ b/internal/ctl/publish_test.go
@@ -66,7 +66,7 @@
 
 	// Two operators start from the same version, and the other's document is first
 	// in the log. The client's document must not come into force, and the output
-	// must show the other document and the difference, with the exit code for beaten.
+	// must show the other document and the difference, with the exit code for superseded.
 	It("shows the document that superseded this one, and the difference", func() {
 		fake := startFake(1)
 		path := editedFile(fake, "mine", lower)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -2,7 +2,7 @@
 // goroutine: lines wait in a bounded queue, and a separate goroutine writes them. When
 // the reader of the log is blocked, the queue fills; further lines are omitted and
 // counted. Routine and failure lines are also bounded per second, routine lines more
-// strictly; belief lines are not.
+// strictly; state-change lines are not.
 package eventlog
 
 import (
--- a/internal/gateway/entriesfeed.go
+++ b/internal/gateway/entriesfeed.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// entriesEvery is the mean interval of reads of the register of entries, which only
+	// entriesEvery is the mean interval of reads of the registry of entries, which only
 	// reveals entries that could not reach this one.
 	entriesEvery = 60 * time.Second
-	// minEntriesPause is the least time between a read of the register and the next one for an
+	// minEntriesPause is the least time between a read of the registry and the next one for an
 	// unknown entry.
 	minEntriesPause = 5 * time.Second
 	// registerRetry is the pause after a failed attempt to register this entry.
@@ -29,7 +29,7 @@
 	Links       string `json:"links"`
 }
 
-// followEntries registers this entry, and reads the register of entries from time to time.
+// followEntries registers this entry, and reads the registry of entries from time to time.
 func (f *feeds) followEntries(ctx context.Context) {
 	pause := time.Duration(0)
 	for registered := false; ctx.Err() == nil; {
@@ -58,7 +58,7 @@
 	}
 }
 
-// requestEntries triggers a read of the register of entries because another entry named an
+// requestEntries triggers a read of the registry of entries because another entry named an
 // unknown one, whose first heartbeat was lost. It does so at most once per minEntriesPause.
 func (f *feeds) requestEntries() {
 	now := time.Now().UnixNano()
@@ -82,7 +82,7 @@
 	return true
 }
 
-// readEntries reads the register of entries. listed: this entry is in it.
+// readEntries reads the registry of entries. listed: this entry is in it.
 func (f *feeds) readEntries() (listed bool, err error) {
 	records, _, err := f.gateway.platform.Snapshot(feed.Entries)
 	if err != nil {
--- a/internal/gateway/feeds.go
+++ b/internal/gateway/feeds.go
@@ -37,7 +37,7 @@
 	operators *feed.Follower
 	targets   *feed.Follower
 
-	// targetsRead is set once the register of targets has been read.
+	// targetsRead is set once the registry of targets has been read.
 	targetsRead atomic.Bool
 	// storeDisconnected is set, by topic, while the store cannot be read.
 	storeDisconnected [feed.Entries]atomic.Bool
@@ -46,7 +46,7 @@
 	addresses         map[string]bool
 	// pendingLines holds the log lines of changes that are not in force yet.
 	pendingLines []eventlog.Fields
-	// entriesDue triggers a read of the register of entries; entriesReadAt is the time of the
+	// entriesDue triggers a read of the registry of entries; entriesReadAt is the time of the
 	// last one, in Unix nanoseconds.
 	entriesDue    chan struct{}
 	entriesReadAt atomic.Int64
@@ -195,7 +195,7 @@
 	return true
 }
 
-// applyTargets applies an update of the register of targets.
+// applyTargets applies an update of the registry of targets.
 func (f *feeds) applyTargets(u feed.Update) {
 	f.count(u)
 	f.mutex.Lock()
--- a/internal/gateway/feeds_test.go
+++ b/internal/gateway/feeds_test.go
@@ -42,7 +42,7 @@
 	return nil, feed.Position{}, nil
 }
 
-// An entry starts during a roll-out and reads the register of servers before it reads the
+// An entry starts during a roll-out and reads the registry of servers before it reads the
 // operators' orders. With the configuration it begins to accept requests: if the order came
 // into force only afterwards, all of them could go to the new version until then.
 func TestOrdersAreInForceBeforeRequestsAreAccepted(t *testing.T) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// synced reports whether this entry has a configuration and the register of targets.
+// synced reports whether this entry has a configuration and the registry of targets.
 func (g *Gateway) synced() bool {
 	return g.configuration.Load() != nil && g.feeds.hasTargets()
 }
--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -243,7 +243,7 @@
 	g.state.deliver(g.state.sched.SetCell(now, cells.Own, cells.Count))
 }
 
-// applyRegister applies the register of entries and announces this entry to all.
+// applyRegister applies the registry of entries and announces this entry to all.
 func (l *links) applyRegister(entries []peerset.Entry) {
 	l.addRegistered(entries)
 	l.announce()
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -16,7 +16,7 @@
 //     observe), and to the other entries with the next load report (loadreport.go).
 //  6. end settles quota and metrics and writes the request's final log line.
 //
-// feeds.go follows configuration and targets in the store, and entriesfeed.go the register
+// feeds.go follows configuration and targets in the store, and entriesfeed.go the registry
 // of entries.
 //
 // Messages between entries are heartbeats (links.go), digests that pass them on to other
@@ -104,7 +104,7 @@
 	// PutStatus publishes the phase of a roll-out to the operators. An earlier phase never
 	// replaces a later one.
 	PutStatus(rollout.Order, rollout.Phase) error
-	// DecodeTarget decodes a target's record in the register.
+	// DecodeTarget decodes a target's record in the registry.
 	DecodeTarget(feed.Record) (catalog.Target, error)
 	// Directory returns a handler that serves the list of entries, Ready one that reports
 	// readiness.
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -19,7 +19,7 @@
 }
 
 // Status is the latest status that an entry has reported. It has no addresses, which would
-// take up a third of the datagram: they are in the register of entries and in the
+// take up a third of the datagram: they are in the registry of entries and in the
 // heartbeat that an entry sends at its start.
 type Status struct {
 	_           struct{} `cbor:",toarray"`
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -34,7 +34,7 @@
 
 // GatewayBounds are the operators' guarantees that the process must meet.
 type GatewayBounds struct {
-	// DrainMS is the time from the write that marks a target as leaving in the register to
+	// DrainMS is the time from the write that marks a target as leaving in the registry to
 	// the last request that may be sent to it.
 	DrainMS int `json:"drain_ms"`
 	// ConfigurationMS is the time within which a new configuration must be in force.
