--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -35,7 +35,7 @@
 	// buffered holds the data that the watcher read: the beginning of the caller's next
 	// request.
 	buffered []byte
-	// readErr is the error that readErr the watcher's read.
+	// readErr is the error that ended the watcher's read.
 	readErr error
 	watcher chan struct{}
 }
--- a/internal/replay/capacity/scheduler_bench_test.go
+++ b/internal/replay/capacity/scheduler_bench_test.go
@@ -105,7 +105,7 @@
 
 // BenchmarkFloor measures one exchange of the tier floor between a scheduler that
 // must refuse and all others, until all replies are processed. It also reports the
-// number of asks.
+// number of requests.
 func BenchmarkFloor(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48, 96, 205, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// BenchmarkFloorAsked measures the reply to one ask of another scheduler.
+// BenchmarkFloorAsked measures the reply to one request of another scheduler.
 func BenchmarkFloorAsked(b *testing.B) {
 	for _, n := range []int{6, 48, fullMembers} {
 		b.Run(fmt.Sprintf("x=%d", n), func(b *testing.B) {
--- a/internal/replay/live/exchange.go
+++ b/internal/replay/live/exchange.go
@@ -37,7 +37,7 @@
 // streamsPath is followed by a stream's token.
 const streamsPath = "/v1/streams/"
 
-// maxRedirects limits how many maxRedirects of entries are followed.
+// maxRedirects limits how many redirects of entries are followed.
 const maxRedirects = 4
 
 // errRedirects is returned for too many redirects and for an invalid Location.
