--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -16,7 +16,7 @@
 // The damage of a bad version is bounded by one rule: an entry draws for each request
 // whether it goes to the canary, with a probability below the share that the operators
 // allow. This needs no communication, so the bound also holds for entries that are
-// partitioned, have restarted or follow no leader. An entry that has not heard from the
+// partitioned, have restarted or follow no leader. An entry that has received nothing from the
 // leader within a time-out sends nothing to the canary.
 //
 // Time is passed as an argument, and nothing in this package blocks or does I/O. Trackers
--- a/internal/core/rollout/tracker.go
+++ b/internal/core/rollout/tracker.go
@@ -22,7 +22,7 @@
 	burstFactor = 2.5
 	// maxChance is the maximum probability of a request to go to the canary during a burst.
 	maxChance = 0.9
-	// An entry stops sending to the canary when it has not heard from the leader for
+	// An entry stops sending to the canary when it has received nothing from the leader for
 	// leaderTimeoutShare of the time within which a bad version must be stopped, and after
 	// maxLeaderTimeout at the latest.
 	leaderTimeoutShare = 0.3
