--- a/internal/gateway/links.go
+++ b/internal/gateway/links.go
@@ -43,7 +43,7 @@
 	// to the cell.
 	heartbeatDue chan struct{}
 	announcing   atomic.Bool
-	// heartbeatCount counts heartbeats, from a start that differs by entry; see peerset.Set.Probed.
+	// heartbeatCount counts heartbeats, from a start that differs by entry; see peerset.Set.NextProbe.
 	heartbeatCount int
 	// cells is the division of entries into cells, as last updated at cellsAt; cellsDue: an
 	// update is scheduled.
@@ -243,7 +243,7 @@
 	g.state.deliver(g.state.sched.SetCell(now, cells.Own, cells.Count))
 }
 
-// applyRegister applies the register of entries and announces this entry to all.
+// applyRegister applies the registry of entries and announces this entry to all.
 func (l *links) applyRegister(entries []peerset.Entry) {
 	l.addRegistered(entries)
 	l.announce()
