--- a/internal/standin/base/answer.go
+++ b/internal/standin/base/answer.go
@@ -107,7 +107,7 @@
 
 // answerTooMany answers 429 with Retry-After in whole seconds, at least one.
 func answerTooMany(ctx *fasthttp.RequestCtx, wait time.Duration) {
-	Fail(ctx, fasthttp.StatusTooManyRequests, "rate limit exceeded")
+	Fail(ctx, fasthttp.StatusTooManyRequests, "over the rate")
 	seconds := max(1, int(math.Ceil(wait.Seconds())))
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 }
--- a/internal/standin/enginemodel/model.go
+++ b/internal/standin/enginemodel/model.go
@@ -24,7 +24,7 @@
 	ErrFull     = errors.New("engine is full")
 	ErrLeaving  = errors.New("engine is leaving")
 	ErrTooLarge = errors.New("job exceeds the engine's KV capacity")
-	ErrRunning  = errors.New("a job with this id already exists")
+	ErrRunning  = errors.New("a job of this id is held already")
 )
 
 // Job is one stream to generate.
--- a/internal/standin/logservice/logservice.go
+++ b/internal/standin/logservice/logservice.go
@@ -99,7 +99,7 @@
 	base.JSON(ctx, fasthttp.StatusOK, appended{Offset: offset})
 }
 
-var errCrashed = errors.New("log crashed after the request was received")
+var errCrashed = errors.New("crashed since the call came in")
 
 func (s *Server) append(ctx *fasthttp.RequestCtx, name string) (uint64, error) {
 	s.mu.Lock()
